--- a/crates/raildale/src/fleet/entry/attempt.rs
+++ b/crates/raildale/src/fleet/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! A request at one target.
+//! One attempt of a request at one target.
 
 use std::rc::Rc;
 
@@ -19,36 +19,36 @@
     steady_clock::now_ms,
 };
 
-/// What ended an attempt that brought no whole answer, for the log.
+/// Why an attempt ended without a complete answer; logged.
 #[derive(Clone, Copy, Debug)]
 pub enum Cause {
-    /// The target, or the connection to it.
+    /// The target or the connection to it failed.
     Target,
-    /// The request's time was over.
+    /// The request's deadline passed.
     Deadline,
-    /// The target's version was about to be too old to start on.
+    /// The target's version was about to become too old to start on.
     Version,
-    /// The target was silent, and another one has begun to answer.
+    /// The target was silent, and another one began to answer.
     Silence(Silence),
 }
 
-/// An attempt whose answer's head has come.
+/// An attempt whose answer head has arrived.
 #[derive(Debug)]
 pub struct Opened<P: Dialect + Store + 'static> {
-    /// The answer; its body is unread but for what has `begun`.
+    /// The answer; its body is unread except for `buffered`.
     pub response: Response<Incoming>,
     /// The attempt.
     pub attempt: Attempt<P>,
-    /// Whether it is a stream of events.
+    /// Whether the answer is an event stream.
     pub is_event_stream: bool,
-    /// Whether its head has been judged.
-    pub is_judged: bool,
-    /// What has been read of its body.
-    pub begun: BytesMut,
+    /// Whether the head has passed validation.
+    pub is_validated: bool,
+    /// The part of the body that has been read.
+    pub buffered: BytesMut,
 }
 
 impl<P: Dialect + Store + 'static> Opened<P> {
-    /// An answer of which only the head is known.
+    /// Creates it from an answer of which only the head was read.
     pub fn new(
         response: Response<Incoming>,
         attempt: Attempt<P>,
@@ -57,14 +57,14 @@
             response,
             attempt,
             is_event_stream: false,
-            is_judged: false,
-            begun: BytesMut::new(),
+            is_validated: false,
+            buffered: BytesMut::new(),
         }
     }
 
-    /// Reads a stream to the end of its first event, or of the stream. Says
-    /// whether it has come.
-    pub async fn read_event(&mut self) -> bool {
+    /// Reads an event stream up to the end of its first event, or of the
+    /// stream. Returns false if the body fails or ends within an event.
+    pub async fn read_first_event(&mut self) -> bool {
         let mut splitter = EventSplitter::new();
         loop {
             let data = match self.response.body_mut().frame().await {
@@ -72,7 +72,7 @@
                 Some(Err(_)) => return false,
                 None => return !splitter.is_torn(),
             };
-            self.begun.extend_from_slice(&data);
+            self.buffered.extend_from_slice(&data);
             if splitter.push(data).is_some() {
                 return true;
             }
@@ -80,25 +80,26 @@
     }
 }
 
-/// A request at a target; counted back when it ends or is dropped.
+/// An attempt of a request at a target. The gateway stops counting it when it
+/// ends or is dropped.
 #[derive(Debug)]
 pub struct Attempt<P: Dialect + Store + 'static> {
     host: Rc<EntryHost<P>>,
     /// The target.
     pub target: Name,
     fingerprint: Fingerprint,
-    /// The start of it that has the request.
+    /// The start of the target to which the request was sent.
     pub start: Option<StartId>,
     connection: Option<Connection>,
-    /// When the request was sent there.
+    /// When the request was sent, in milliseconds of the steady clock.
     pub sent_ms: u64,
-    /// Whether its answer has begun.
+    /// Whether an event, or a whole answer, has arrived.
     pub has_begun: bool,
     is_over: bool,
 }
 
 impl<P: Dialect + Store + 'static> Attempt<P> {
-    /// An attempt of the request that was just dispatched to `target`.
+    /// Creates the attempt for a request that was just dispatched to `target`.
     pub fn new(
         host: &Rc<EntryHost<P>>,
         request: &Admission,
@@ -117,20 +118,21 @@
         }
     }
 
-    /// The same, with the connection that its answer comes by.
+    /// Sets the connection on which the answer arrives.
     pub fn with_connection(mut self, connection: Connection) -> Attempt<P> {
         self.connection = Some(connection);
         self
     }
 
-    /// Makes the request's state that of this attempt: another one may have
+    /// Sets the request's state to that of this attempt: another one may have
     /// been sent since.
     fn restore(&self, request: &mut Admission) {
         request.sent_to = self.start;
         request.has_begun = self.has_begun;
     }
 
-    /// Notes that an event, or a whole answer, has come.
+    /// Records that an event, or a whole answer, has arrived. Only the first
+    /// call has an effect.
     pub fn note_begun(&mut self, request: &mut Admission) {
         if self.has_begun {
             return;
@@ -143,37 +145,37 @@
         gateway.note_begun(now, request, &self.target, took_ms);
     }
 
-    /// Ends the attempt; says whether the request may be sent again.
+    /// Ends the attempt. Returns whether the request may be sent again.
     pub fn end(&mut self, request: &mut Admission, outcome: Outcome) -> bool {
         self.is_over = true;
         self.restore(request);
         let connection = self.connection.take();
-        let is_sound = matches!(
+        let is_reusable = matches!(
             outcome,
             Outcome::Whole | Outcome::Refused | Outcome::Misdirected
         );
-        if let (true, Some(kept)) = (is_sound, connection) {
+        if let (true, Some(kept)) = (is_reusable, connection) {
             kept.keep();
         }
         let mut gateway = self.host.gateway.borrow_mut();
-        let may_go_on =
+        let may_retry =
             gateway.ended(now_ms(), request, &self.target, outcome);
         drop(gateway);
         if outcome == Outcome::Broken {
-            self.host.note_suspects();
+            self.host.publish_quarantine_changes();
         }
-        may_go_on
+        may_retry
     }
 
-    /// Ends the attempt, whose answer is whole and a success.
-    pub fn end_well(&mut self, request: &mut Admission) {
+    /// Ends the attempt, whose answer is complete and a success.
+    pub fn end_with_success(&mut self, request: &mut Admission) {
         self.end(request, Outcome::Whole);
         let mut gateway = self.host.gateway.borrow_mut();
         gateway.note_answered(now_ms(), request);
     }
 
-    /// Ends the attempt without keeping its connection.
-    pub fn discard(&mut self) {
+    /// Closes the attempt's connection, so that it is not reused.
+    pub fn drop_connection(&mut self) {
         self.connection = None;
     }
 }
--- a/crates/raildale/src/fleet/entry/briefings.rs
+++ b/crates/raildale/src/fleet/entry/briefings.rs
@@ -1,4 +1,4 @@
-//! Briefings: what an entry host tells the agents of a service.
+//! Briefings: messages from an entry host to the agents of a service.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -15,20 +15,21 @@
     steady_clock::now_ms,
 };
 
-/// The agents of a service, and the data centres to which they refer by
-/// place.
+/// The agents of a service, and the data centres that their entries refer to
+/// by index.
 #[derive(Debug)]
 struct AgentList {
     agents: Vec<AgentEntry>,
     data_centres: Vec<String>,
-    /// Whether this entry host counts on slots beside each agent, or has
-    /// requests there.
+    /// For each agent, whether this entry host has slots or requests at its
+    /// target.
     is_used: Vec<bool>,
 }
 
 impl AgentList {
-    /// The agents of a service's targets, without those that are leaving.
-    fn of<P>(host: &EntryHost<P>, service: &Service) -> AgentList {
+    /// Lists the agents of a service's targets, except those that are
+    /// draining.
+    fn of_service<P>(host: &EntryHost<P>, service: &Service) -> AgentList {
         let now = now_ms();
         let gateway = host.gateway.borrow();
         let mut list = AgentList {
@@ -43,7 +44,7 @@
                 continue;
             }
             let report = target.report(now);
-            let data_centre = list.place_of(&spec.data_centre);
+            let data_centre = list.index_of(&spec.data_centre);
             list.agents.push(AgentEntry {
                 ip: u32::from(ip),
                 data_centre,
@@ -56,13 +57,14 @@
         list
     }
 
-    /// Adds the agent that asks, whose target may not be listed yet. Nobody
-    /// else knows of it, so that it brings nothing in: it counts as slow.
-    fn add_asker(&mut self, ip: u32, data_centre: &str) {
+    /// Adds the requesting agent if its target is not listed yet. No other
+    /// agent knows of it, so it is marked as slow: it must not be expected to
+    /// fetch chunks for its data centre.
+    fn add_requester(&mut self, ip: u32, data_centre: &str) {
         if self.agents.iter().any(|agent| agent.ip == ip) {
             return;
         }
-        let data_centre = self.place_of(data_centre);
+        let data_centre = self.index_of(data_centre);
         let is_slow = true;
         let entry =
             AgentEntry { ip, data_centre, is_slow, ..AgentEntry::default() };
@@ -70,8 +72,8 @@
         self.is_used.push(true);
     }
 
-    /// The place of a data centre, which is added if it is new.
-    fn place_of(&mut self, data_centre: &str) -> u32 {
+    /// Returns the index of a data centre, which is added if it is new.
+    fn index_of(&mut self, data_centre: &str) -> u32 {
         let known = self.data_centres.iter().position(|c| c == data_centre);
         let place = known.unwrap_or_else(|| {
             self.data_centres.push(data_centre.to_string());
@@ -80,18 +82,21 @@
         place as u32
     }
 
-    /// A briefing that holds this list as well.
-    fn put_into(self, briefing: Briefing) -> Briefing {
+    /// Returns `briefing` with this list added.
+    fn add_to(self, briefing: Briefing) -> Briefing {
         let AgentList { agents, data_centres, is_used: _ } = self;
         Briefing { agents, data_centres, ..briefing }
     }
 }
 
-/// A briefing with its list, encoded, for the agent at `ip` that asks;
-/// `None` if no configuration tells of its service, or no agent of a large
-/// fleet is listed yet: each of 204 that believed itself alone after a loss of
-/// all took the whole version from the origin, which sent 25 copies.
-pub fn one<P>(
+/// Returns an encoded briefing with the list of agents for the requesting
+/// agent at `ip`.
+///
+/// Returns `None` if no configuration names its service, if the service's
+/// weights are not spread, or while no agent of a large fleet is listed.
+/// Agents that believe themselves alone each take the whole version from the
+/// origin: after a loss of all, 204 of them made it send 25 copies.
+pub fn for_agent<P>(
     host: &EntryHost<P>,
     ip: IpAddr,
     ask: &AskBriefing,
@@ -101,22 +106,22 @@
 {
     let routing = host.gateway.borrow().routing().cloned()?;
     let service = routing.service(&ask.service)?;
-    let terms = terms(&routing, service)?;
-    let mut list = AgentList::of(host, service);
+    let base = base(&routing, service)?;
+    let mut list = AgentList::of_service(host, service);
     if list.agents.is_empty() && host.members.borrow().is_large() {
         return None;
     }
     if let IpAddr::V4(ip) = ip {
-        list.add_asker(u32::from(ip), &ask.data_centre);
+        list.add_requester(u32::from(ip), &ask.data_centre);
     }
-    let mut briefing = list.put_into(short_briefing(host, service, terms));
+    let mut briefing = list.add_to(listless_briefing(host, service, base));
     briefing.is_near = true;
     Some(frames::encode_note(Note::Briefing(briefing)))
 }
 
-/// A briefing, encoded, for each agent of a service whose weights are
-/// spread, and the agent's address.
-pub fn all<P>(host: &EntryHost<P>) -> Vec<(IpAddr, Vec<u8>)>
+/// Returns an encoded briefing, and the address to send it to, for each agent
+/// of the services whose weights are spread.
+pub fn for_all_agents<P>(host: &EntryHost<P>) -> Vec<(IpAddr, Vec<u8>)>
 where
     P: Dialect + Store + 'static,
 {
@@ -125,16 +130,16 @@
     };
     routing
         .services()
-        .flat_map(|service| match terms(&routing, service) {
-            Some(terms) => service_briefings(host, service, terms),
+        .flat_map(|service| match base(&routing, service) {
+            Some(base) => service_briefings(host, service, base),
             None => Vec::new(),
         })
         .collect()
 }
 
-/// What every briefing of a service holds; `None` if its weights are not
-/// spread.
-fn terms(routing: &Routing, service: &Service) -> Option<Briefing> {
+/// Returns the fields that all briefings of a service share; `None` if its
+/// weights are not spread.
+fn base(routing: &Routing, service: &Service) -> Option<Briefing> {
     let engine = service.engine.as_ref()?;
     if engine.chunk_count == 0 {
         return None;
@@ -152,32 +157,35 @@
     })
 }
 
-/// The briefings of a service's agents, which all hold its `terms`.
+/// Returns the briefings of a service's agents, all built on `base`.
 fn service_briefings<P>(
     host: &EntryHost<P>,
     service: &Service,
-    terms: Briefing,
+    base: Briefing,
 ) -> Vec<(IpAddr, Vec<u8>)>
 where
     P: Dialect + Store + 'static,
 {
-    let list = AgentList::of(host, service);
-    let short = short_briefing(host, service, terms);
-    let forms: Vec<Option<BriefingForm>> =
-        list.data_centres.iter().map(|centre| form(host, centre)).collect();
+    let list = AgentList::of_service(host, service);
+    let listless = listless_briefing(host, service, base);
+    let briefing_forms: Vec<Option<BriefingForm>> = list
+        .data_centres
+        .iter()
+        .map(|centre| briefing_form(host, centre))
+        .collect();
     let agents = list.agents.clone();
     let is_used = list.is_used.clone();
     let is_near = true;
-    let near = Briefing { is_near, ..short.clone() };
-    let full = list.put_into(near.clone());
-    let [short, near, full] = [short, near, full]
+    let near = Briefing { is_near, ..listless.clone() };
+    let full = list.add_to(near.clone());
+    let [listless, near, full] = [listless, near, full]
         .map(|briefing| frames::encode_note(Note::Briefing(briefing)));
     agents
         .iter()
         .zip(is_used)
         .filter_map(|(agent, is_used)| {
-            let note = match forms[agent.data_centre as usize]? {
-                BriefingForm::Far => short.clone(),
+            let note = match briefing_forms[agent.data_centre as usize]? {
+                BriefingForm::Far => listless.clone(),
                 BriefingForm::NearIfUsed if is_used => near.clone(),
                 BriefingForm::NearIfUsed => return None,
                 BriefingForm::NearWithList => full.clone(),
@@ -187,24 +195,29 @@
         .collect()
 }
 
-/// Which briefing the agents of a data centre get.
+/// The kind of briefing that the agents of a data centre get.
 #[derive(Clone, Copy, Debug)]
 enum BriefingForm {
-    /// This entry host sends little there.
+    /// A short one without the list, to keep traffic to that data centre low.
     Far,
-    /// This entry host looks after those beside targets that it uses: with 30 entry hosts
-    /// next door an agent would tell each ten times a second, and eight of
-    /// them count on a slot there. The others hear from the relays.
+    /// For agents whose target this entry host uses, without the list. With 30
+    /// entry hosts in a data centre an agent would report to each ten times a
+    /// second, although only eight of them count on a slot there. The others
+    /// hear from the relays.
     NearIfUsed,
-    /// It also tells them of one another.
+    /// For agents that this entry host looks after, with the list of agents.
     NearWithList,
 }
 
-/// Which briefing the agents of a data centre get from this entry host; none
-/// if others tell it what they report. The list goes to the agents next door,
-/// and to those of data centres without a live entry host: bytes that cross
-/// are dear. In a large fleet the relays send it, and nobody else.
-fn form<P>(host: &EntryHost<P>, data_centre: &str) -> Option<BriefingForm>
+/// Returns which briefing the agents of a data centre get from this entry
+/// host; `None` if other entry hosts pass on their reports. The list goes to
+/// the agents of the data centres to which no live entry host is nearer,
+/// because traffic between data centres is costly. In a large fleet only the
+/// relays send it.
+fn briefing_form<P>(
+    host: &EntryHost<P>,
+    data_centre: &str,
+) -> Option<BriefingForm>
 where
     P: Dialect + Store + 'static,
 {
@@ -221,17 +234,21 @@
     }
 }
 
-/// A briefing of a service without its list of agents.
-fn short_briefing<P>(
+/// Returns a briefing of a service without the list of agents.
+fn listless_briefing<P>(
     host: &EntryHost<P>,
     service: &Service,
-    terms: Briefing,
+    base: Briefing,
 ) -> Briefing {
-    Briefing { versions: named(host, service), sent_ms: now_ms(), ..terms }
+    Briefing {
+        versions: named_versions(host, service),
+        sent_ms: now_ms(),
+        ..base
+    }
 }
 
-/// The versions of a service's models that were named, and how long ago.
-fn named<P>(host: &EntryHost<P>, service: &Service) -> Vec<Named> {
+/// Returns the named versions of a service's models, with their ages.
+fn named_versions<P>(host: &EntryHost<P>, service: &Service) -> Vec<Named> {
     let now = now_ms();
     let models = service.engine.as_ref().map_or(&[][..], |e| &e.models);
     let gateway = host.gateway.borrow();
--- a/crates/raildale/src/fleet/entry/callers.rs
+++ b/crates/raildale/src/fleet/entry/callers.rs
@@ -1,5 +1,4 @@
-//! The ports that callers use: requests, readiness, and which addresses to
-//! use.
+//! The ports that callers use: requests, readiness, and the list of addresses.
 
 use std::{
     cell::Cell, convert::Infallible, net::SocketAddr, rc::Rc, time::Duration,
@@ -19,9 +18,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::{
-    EntryHost, heads, proxy,
+    EntryHost, heads,
+    idle::{self, IdleTimer},
+    proxy,
     proxy::AnswerBody,
-    rest::{self, Rest},
 };
 use crate::{
     error::Error,
@@ -32,10 +32,10 @@
     },
 };
 
-/// How long the head of a request may take, with the rest before it, at
-/// least. It bounds callers that send a head byte by byte; how long a
-/// connection may rest is up to the limits in force, and shorter.
-const HEAD_MOST: Duration = Duration::from_secs(300);
+/// The minimum time-out for reading a request's head, including the idle time
+/// before it. It bounds callers that send a head byte by byte. The idle time
+/// alone is limited by the settings in force, and is shorter.
+const MIN_HEAD_READ_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Starts all three ports.
 ///
@@ -50,8 +50,16 @@
     let readiness = TcpListener::bind(host.listen.readiness).await?;
     let addresses = TcpListener::bind(host.listen.addresses).await?;
     tokio::task::spawn_local(accept_callers(host.clone(), callers));
-    tokio::task::spawn_local(accept_small(host.clone(), readiness, ready));
-    tokio::task::spawn_local(accept_small(host.clone(), addresses, where_to));
+    tokio::task::spawn_local(accept_simple(
+        host.clone(),
+        readiness,
+        answer_readiness,
+    ));
+    tokio::task::spawn_local(accept_simple(
+        host.clone(),
+        addresses,
+        answer_addresses,
+    ));
     Ok(())
 }
 
@@ -74,21 +82,21 @@
     P: Dialect + Store + 'static,
 {
     let limits = host.limits();
-    let rest = Rest::begin();
-    let mut ending = host.ending.subscribe();
+    let idle = IdleTimer::new();
+    let mut closing = host.closing.subscribe();
     let service = service_fn(|request| {
-        answer_caller(host.clone(), request, rest.clone())
+        answer_caller(host.clone(), request, idle.clone())
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_MOST.max(rest::idle_most(limits)))
+        .header_read_timeout(MIN_HEAD_READ_TIMEOUT.max(idle::max_idle(limits)))
         .max_buf_size(heads::buffer_bytes(limits))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => Some(ended),
-        () = rest.is_over(|| host.limits()) => None,
-        _ = ending.wait_for(|is_ending| *is_ending) => None,
+        () = idle.expired(|| host.limits()) => None,
+        _ = closing.wait_for(|is_ending| *is_ending) => None,
     };
     let ended = match ended {
         Some(ended) => ended,
@@ -106,12 +114,12 @@
 async fn answer_caller<P>(
     host: Rc<EntryHost<P>>,
     request: Request<Incoming>,
-    rest: Rest,
+    idle: IdleTimer,
 ) -> Result<Response<AnswerBody>, Infallible>
 where
     P: Dialect + Store + 'static,
 {
-    let progress = Progress::begin(&host, rest);
+    let progress = RequestGuard::begin(&host, idle);
     let mut response = proxy::answer(host.clone(), request, progress).await;
     if host.is_leaving() {
         let close = HeaderValue::from_static("close");
@@ -120,39 +128,39 @@
     Ok(response)
 }
 
-/// Counts a request in progress for as long as it lives.
+/// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
-pub struct Progress<P> {
+pub struct RequestGuard<P> {
     host: Rc<EntryHost<P>>,
-    rest: Rest,
+    idle: IdleTimer,
 }
 
-impl<P> Progress<P> {
-    fn begin(host: &Rc<EntryHost<P>>, rest: Rest) -> Progress<P> {
-        add(&host.in_progress, 1);
-        rest.stop();
-        Progress { host: host.clone(), rest }
+impl<P> RequestGuard<P> {
+    fn begin(host: &Rc<EntryHost<P>>, idle: IdleTimer) -> RequestGuard<P> {
+        adjust(&host.in_progress, 1);
+        idle.pause();
+        RequestGuard { host: host.clone(), idle }
     }
 }
 
-impl<P> Drop for Progress<P> {
+impl<P> Drop for RequestGuard<P> {
     fn drop(&mut self) {
-        add(&self.host.in_progress, -1);
-        self.rest.start();
+        adjust(&self.host.in_progress, -1);
+        self.idle.restart();
     }
 }
 
-fn add(count: &Cell<usize>, change: isize) {
+fn adjust(count: &Cell<usize>, change: isize) {
     count.set(count.get().saturating_add_signed(change));
 }
 
-type Small<P> =
+type SimpleHandler<P> =
     fn(&Rc<EntryHost<P>>, &Request<Incoming>) -> Response<Full<Bytes>>;
 
-async fn accept_small<P>(
+async fn accept_simple<P>(
     host: Rc<EntryHost<P>>,
     listener: TcpListener,
-    answer: Small<P>,
+    answer: SimpleHandler<P>,
 ) where
     P: Dialect + Store + 'static,
 {
@@ -167,13 +175,13 @@
             let connection = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                log::debug!("a small question's connection: {error}");
+                log::debug!("connection for readiness or addresses: {error}");
             }
         });
     }
 }
 
-fn ready<P>(
+fn answer_readiness<P>(
     host: &Rc<EntryHost<P>>,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>>
@@ -182,25 +190,27 @@
 {
     let path = request.uri().path();
     if path == METRICS_PATH {
-        return plain(StatusCode::OK, host.metrics.render());
+        return text_response(StatusCode::OK, host.metrics.render());
     }
     match (host.platform.is_readiness_path(path), host.is_ready()) {
-        (false, _) => plain(StatusCode::NOT_FOUND, String::new()),
-        (true, true) => plain(StatusCode::OK, String::new()),
-        (true, false) => plain(StatusCode::SERVICE_UNAVAILABLE, String::new()),
+        (false, _) => text_response(StatusCode::NOT_FOUND, String::new()),
+        (true, true) => text_response(StatusCode::OK, String::new()),
+        (true, false) => {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, String::new())
+        }
     }
 }
 
-/// Where the metrics are served, on the port for readiness.
+/// The path of the metrics on the readiness port.
 pub const METRICS_PATH: &str = "/metrics";
 
-fn plain(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     response
 }
 
-fn where_to<P>(
+fn answer_addresses<P>(
     host: &Rc<EntryHost<P>>,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>>
@@ -208,7 +218,7 @@
     P: Dialect + Store + 'static,
 {
     let Some(query) = host.platform.address_query(request.uri()) else {
-        return plain(StatusCode::NOT_FOUND, String::new());
+        return text_response(StatusCode::NOT_FOUND, String::new());
     };
     let draw = rand::random_range(0..usize::from(u16::MAX));
     let addresses: Vec<SocketAddr> = host
@@ -225,7 +235,7 @@
     response
 }
 
-/// A whole body.
-pub fn whole(body: Bytes) -> AnswerBody {
+/// Returns a body that consists of `body`.
+pub fn full_body(body: Bytes) -> AnswerBody {
     Box::pin(Full::new(body).map_err(|never| match never {}))
 }
--- a/crates/raildale/src/fleet/entry/culprits.rs
+++ b/crates/raildale/src/fleet/entry/culprits.rs
@@ -1,5 +1,5 @@
-//! Keeps the store's records of requests that end the targets that run them
-//! equal to what is known: they outlast a start of all entry hosts.
+//! Reconciles the store's records of requests that end their targets with what
+//! is known. The records survive a restart of all entry hosts.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -12,58 +12,59 @@
 use super::{EntryHost, host::unix_ms};
 use crate::fleet::edge::{Dialect, Store};
 
-/// Pause before a record that is still missing is written again: the watch of
-/// the store has told of it by then, or the store is away.
-const AGAIN: Duration = Duration::from_secs(2);
+/// How long a record stays claimed after a write or deletion. By then the
+/// watch of the store has delivered the change, or the store is unavailable.
+const WRITE_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Age of a loss after which any entry host writes its record, in
-/// milliseconds: the one that is to may be cut off from the store.
-const OVERDUE_MS: u64 = 3_000;
+/// The age of a loss, in milliseconds, after which any entry host may write
+/// its record: the owner may be cut off from the store.
+const RECORD_OVERDUE_MS: u64 = 3_000;
 
-/// Writes the records that the store lacks, and takes away those of requests
-/// that were answered since, and old ones. One entry host does so for each
+/// Writes the records that the store lacks, and deletes those that are old or
+/// whose requests were answered since. One entry host does so for each
 /// request.
-pub(super) fn keep_records<P>(host: &Rc<EntryHost<P>>)
+pub(super) fn reconcile_records<P>(host: &Rc<EntryHost<P>>)
 where
     P: Dialect + Store + 'static,
 {
     let unix_ms = unix_ms();
-    let stored = stored(host);
+    let stored_records = stored_records(host);
     for record in host.quarantine_records() {
-        if !record.adds_to(stored.get(&record.fingerprint)) {
+        if !record.adds_to(stored_records.get(&record.fingerprint)) {
             continue;
         }
-        let is_overdue = unix_ms > record.last_unix_ms() + OVERDUE_MS;
-        if is_mine(host, record.fingerprint, is_overdue) {
-            tokio::task::spawn_local(write(host.clone(), record));
+        let is_overdue = unix_ms > record.last_unix_ms() + RECORD_OVERDUE_MS;
+        if claim_write(host, record.fingerprint, is_overdue) {
+            tokio::task::spawn_local(write_record(host.clone(), record));
         }
     }
-    for (fingerprint, record) in stored {
+    for (fingerprint, record) in stored_records {
         let is_answered =
             host.gateway.borrow().quarantine.is_answered(fingerprint);
         let is_over = is_answered || record.is_over(unix_ms);
-        if is_over && is_mine(host, fingerprint, false) {
-            tokio::task::spawn_local(take_away(host.clone(), fingerprint));
+        if is_over && claim_write(host, fingerprint, false) {
+            tokio::task::spawn_local(delete_record(host.clone(), fingerprint));
         }
     }
 }
 
-/// The records that the store holds, as far as known.
-fn stored<P>(host: &EntryHost<P>) -> BTreeMap<Fingerprint, Record>
+/// Returns the store's records, as far as known.
+fn stored_records<P>(host: &EntryHost<P>) -> BTreeMap<Fingerprint, Record>
 where
     P: Dialect + Store + 'static,
 {
     let snapshot = host.known.snapshot(Kind::Quarantine);
     let records = snapshot.objects.iter().filter_map(|object| {
-        // What does not decode was logged as it came.
+        // Objects that do not decode were logged on arrival.
         host.platform.quarantine_record(object).ok()
     });
     records.map(|record| (record.fingerprint, record)).collect()
 }
 
-/// Whether this entry host is to write of a request, and does not yet: its
-/// owner or, if that is overdue, one that is drawn.
-fn is_mine<P>(
+/// Claims the record of a request for writing. Returns whether this entry host
+/// is its owner or, if the record is overdue, was drawn at random, and has not
+/// claimed it already.
+fn claim_write<P>(
     host: &EntryHost<P>,
     fingerprint: Fingerprint,
     is_overdue: bool,
@@ -71,37 +72,45 @@
     let others = host.members.borrow().others().count();
     let is_drawn = is_overdue && rand::random_range(0..=others) == 0;
     let is_owner = host.gateway.borrow().quarantine.is_owner(fingerprint);
-    (is_owner || is_drawn) && host.writing.borrow_mut().insert(fingerprint)
+    (is_owner || is_drawn)
+        && host.claimed_records.borrow_mut().insert(fingerprint)
 }
 
-async fn write<P>(host: Rc<EntryHost<P>>, record: Record)
+async fn write_record<P>(host: Rc<EntryHost<P>>, record: Record)
 where
     P: Dialect + Store + 'static,
 {
     let written = host.platform.put_quarantine(&record).await;
     if let Err(failure) = written {
-        log::info!("record of {}: {failure:?}", record.fingerprint);
+        log::info!(
+            "writing the quarantine record of {}: {failure:?}",
+            record.fingerprint
+        );
     }
     host.metrics.add("store_calls_total", "", 1);
-    settle(&host, record.fingerprint).await;
+    release_claim_later(&host, record.fingerprint).await;
 }
 
-async fn take_away<P>(host: Rc<EntryHost<P>>, fingerprint: Fingerprint)
+async fn delete_record<P>(host: Rc<EntryHost<P>>, fingerprint: Fingerprint)
 where
     P: Dialect + Store + 'static,
 {
     let name = Name::from(fingerprint.to_string());
-    let taken = host.platform.delete_quarantine(&name).await;
-    if let Err(failure) = taken {
-        log::info!("record of {fingerprint} stays: {failure:?}");
+    let deleted = host.platform.delete_quarantine(&name).await;
+    if let Err(failure) = deleted {
+        log::info!(
+            "deleting the quarantine record of {fingerprint}: {failure:?}"
+        );
     }
     host.metrics.add("store_calls_total", "", 1);
-    settle(&host, fingerprint).await;
+    release_claim_later(&host, fingerprint).await;
 }
 
-/// Waits until the store's change should be known here, or the call may be
-/// made again.
-async fn settle<P>(host: &EntryHost<P>, fingerprint: Fingerprint) {
-    tokio::time::sleep(AGAIN).await;
-    host.writing.borrow_mut().remove(&fingerprint);
+/// Releases the claim once the store's change should be known here.
+async fn release_claim_later<P>(
+    host: &EntryHost<P>,
+    fingerprint: Fingerprint,
+) {
+    tokio::time::sleep(WRITE_RETRY_PAUSE).await;
+    host.claimed_records.borrow_mut().remove(&fingerprint);
 }
--- a/crates/raildale/src/fleet/entry/delays.rs
+++ b/crates/raildale/src/fleet/entry/delays.rs
@@ -1,4 +1,5 @@
-//! How late the process runs: on a part of a core it may wait for its turn.
+//! Measures the scheduling delay of this process: with a fraction of a core it
+//! may have to wait to run.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,31 +11,31 @@
     steady_clock::now_ms,
 };
 
-/// Time between two looks, in milliseconds.
-const LOOK_MS: u64 = 100;
+/// The time between two measurements, in milliseconds.
+const PROBE_INTERVAL_MS: u64 = 100;
 
-/// A look that is late by this much is logged, in milliseconds: silence of a
-/// target counts from 250 ms on.
-const LOGGED_MS: u64 = 200;
+/// The minimum delay that is logged, in milliseconds. A target's silence
+/// counts from 250 ms on.
+const MIN_LOGGED_DELAY_MS: u64 = 200;
 
-/// Starts looking.
+/// Starts the measurements.
 pub fn start<P>(host: &Rc<EntryHost<P>>)
 where
     P: Dialect + Store + 'static,
 {
-    tokio::task::spawn_local(look(host.clone()));
+    tokio::task::spawn_local(measure(host.clone()));
 }
 
-async fn look<P>(host: Rc<EntryHost<P>>)
+async fn measure<P>(host: Rc<EntryHost<P>>)
 where
     P: Dialect + Store + 'static,
 {
     loop {
-        let due_ms = now_ms() + LOOK_MS;
-        tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+        let due_ms = now_ms() + PROBE_INTERVAL_MS;
+        tokio::time::sleep(Duration::from_millis(PROBE_INTERVAL_MS)).await;
         let late_ms = now_ms().saturating_sub(due_ms);
         host.metrics.record("delay_ms", "", late_ms);
-        if late_ms >= LOGGED_MS {
+        if late_ms >= MIN_LOGGED_DELAY_MS {
             let running = host.in_progress.get();
             let detail = format!("late_ms={late_ms} in_progress={running}");
             host.log(LogEvent::Delayed, &detail);
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -1,7 +1,8 @@
-//! What the data centres of a large fleet tell one another.
+//! Digests: messages between the data centres of a large fleet.
 //!
-//! A relay tells its neighbours, and one entry host of each other data centre,
-//! what it hears in its own; that one passes the digest on to its neighbours.
+//! A relay sends what it hears in its own data centre to its neighbours and to
+//! one entry host of each other data centre, which forwards the digest to its
+//! neighbours.
 
 use std::net::IpAddr;
 
@@ -18,13 +19,13 @@
     steady_clock::now_ms,
 };
 
-/// Time between two digests of a relay, in milliseconds, as its readers
-/// expect them: [`DIGEST_EVERY`] heartbeats.
+/// The time between two digests of a relay, in milliseconds, as announced to
+/// the receivers: [`DIGEST_EVERY`] heartbeats.
 const DIGEST_EVERY_MS: u32 =
-    peers::HEARTBEAT.as_millis() as u32 * DIGEST_EVERY as u32;
+    peers::HEARTBEAT_INTERVAL.as_millis() as u32 * DIGEST_EVERY as u32;
 
-/// Sends a digest with the heartbeat number `beat`, if this entry host is a
-/// relay and it is its turn.
+/// Sends a digest after heartbeat number `beat` if this entry host is a relay
+/// and due to send one.
 pub(super) async fn send<P>(host: &EntryHost<P>, socket: &UdpSocket, beat: u64)
 where
     P: Dialect + Store + 'static,
@@ -47,7 +48,8 @@
     peers::send_to_hosts(host, socket, &note, recipients).await;
 }
 
-/// What this entry host hears in its data centre.
+/// Returns the digest of what this entry host hears in its data centre; `None`
+/// if its own address is not IPv4.
 fn digest<P>(host: &EntryHost<P>) -> Option<Digest>
 where
     P: Dialect + Store + 'static,
@@ -66,22 +68,23 @@
     })
 }
 
-/// The targets whose agents report to this entry host.
+/// Returns the targets whose agents report to this entry host.
 fn heard_targets<P>(host: &EntryHost<P>) -> Vec<DigestTarget> {
     let now = now_ms();
     let gateway = host.gateway.borrow();
     let heard = gateway.targets.iter().filter_map(|target| {
         let (report, age_ms) = target.heard_report(now)?;
-        let mut told = Report::of(target.spec.address, report);
-        told.every_ms = DIGEST_EVERY_MS;
+        let mut wire_report = Report::of(target.spec.address, report);
+        wire_report.every_ms = DIGEST_EVERY_MS;
         let round_trip_ms = report.round_trip_ms;
-        Some(DigestTarget { report: Some(told), age_ms, round_trip_ms })
+        Some(DigestTarget { report: Some(wire_report), age_ms, round_trip_ms })
     });
     heard.collect()
 }
 
-/// Takes a digest in, and passes it on if it comes from its relay.
-pub(super) async fn take<P>(
+/// Applies a digest, and forwards it if it comes directly from a relay of
+/// another data centre.
+pub(super) async fn handle<P>(
     host: &EntryHost<P>,
     socket: &UdpSocket,
     from: IpAddr,
@@ -104,42 +107,42 @@
             &digest.echoes,
         );
     }
-    note(host, relay_ip, &digest);
+    record(host, relay_ip, &digest);
     if is_first_hand {
-        pass_on(host, socket, relay_ip, digest).await;
+        forward(host, socket, relay_ip, digest).await;
     }
 }
 
-/// Notes what a digest tells of entry hosts and targets.
-fn note<P>(host: &EntryHost<P>, relay_ip: IpAddr, digest: &Digest)
+/// Records what a digest reports of entry hosts and targets.
+fn record<P>(host: &EntryHost<P>, relay_ip: IpAddr, digest: &Digest)
 where
     P: Dialect + Store + 'static,
 {
     let now = now_ms();
     if let Some(hello) = digest.hello.clone() {
-        peers::note_hello(host, relay_ip, hello);
+        peers::record_hello(host, relay_ip, hello);
     }
-    for told in &digest.entry_hosts {
-        host.members.borrow_mut().heard_of(now, told);
+    for entry in &digest.entry_hosts {
+        host.members.borrow_mut().heard_of(now, entry);
     }
     let mut gateway = host.gateway.borrow_mut();
-    for told in &digest.targets {
-        let Some(wire) = &told.report else { continue };
+    for target in &digest.targets {
+        let Some(wire) = &target.report else { continue };
         let Some(address) = peers::target_address(wire, relay_ip) else {
             continue;
         };
         let mut report = wire.target_report(now);
-        report.round_trip_ms = told.round_trip_ms + digest.round_trip_ms;
-        let at_ms = now.saturating_sub(told.age_ms);
+        report.round_trip_ms = target.round_trip_ms + digest.round_trip_ms;
+        let at_ms = now.saturating_sub(target.age_ms);
         gateway.targets.note_told(at_ms, address, report);
     }
     drop(gateway);
-    host.note_ends();
+    host.handle_ended_targets();
 }
 
-/// Passes a digest on to the neighbours; the way is measured, and what others
-/// sent back is of no use to them.
-async fn pass_on<P>(
+/// Forwards a digest to the neighbours. Its echoes are dropped: they only
+/// serve the first receiver, which has measured the round trip.
+async fn forward<P>(
     host: &EntryHost<P>,
     socket: &UdpSocket,
     relay_ip: IpAddr,
--- a/crates/raildale/src/fleet/entry/exchange_log.rs
+++ b/crates/raildale/src/fleet/entry/exchange_log.rs
@@ -1,4 +1,4 @@
-//! What is written of a request's attempts and of its answer.
+//! Log lines about a request's attempts and its answer.
 
 use hyper::StatusCode;
 use raildale_core::{LogEvent, gateway::Outcome};
@@ -13,7 +13,7 @@
 };
 
 impl<P: Dialect + Store + 'static> Exchange<P> {
-    /// Writes that an attempt came to nothing.
+    /// Logs an attempt that failed.
     pub fn log_attempt(
         &self,
         attempt: &Attempt<P>,
@@ -34,13 +34,18 @@
         self.host.log(LogEvent::AttemptFailed, &detail);
     }
 
-    /// Writes that the request has its answer.
-    pub fn log_done(&self, target: &str, status: StatusCode, pace: &str) {
+    /// Logs that the request was answered.
+    pub fn log_done(
+        &self,
+        target: &str,
+        status: StatusCode,
+        event_times: &str,
+    ) {
         let took_ms = now_ms() - self.request.arrived_ms;
         self.host.metrics.record("request_ms", "", took_ms);
         let detail = format!(
             "id={} request={} route={} target={target} status={} tries={} \
-             took_ms={took_ms} waited_ms={} is_back={} {pace}",
+             took_ms={took_ms} waited_ms={} is_back={} {event_times}",
             self.head.id,
             self.fingerprint,
             self.request.route.name,
--- a/crates/raildale/src/fleet/entry/heads.rs
+++ b/crates/raildale/src/fleet/entry/heads.rs
@@ -1,40 +1,41 @@
-//! How long the head of a caller's request is, and may be.
+//! Sizes of the heads of callers' requests.
 
 use hyper::http::request::Parts;
 use raildale_core::gateway::routes::Limits;
 
-/// Bytes that a caller's connection may buffer in each direction. The limits
-/// in force change while it is open, so this is more than they usually allow
-/// for a head. Buffers grow with what is sent only.
-const BUFFER_BYTES: usize = 256 << 10;
+/// The minimum buffer of a caller's connection, in bytes in each direction.
+/// The limits in force may change while it is open, so this exceeds what they
+/// usually allow for a head. Buffers only grow with what is sent.
+const MIN_BUFFER_BYTES: usize = 256 << 10;
 
-/// What a connection needs beside the longest head, in bytes: the body that
-/// comes with it.
-const BESIDE_HEAD_BYTES: usize = 16 << 10;
+/// What a connection buffers in addition to the longest head, in bytes: the
+/// body that arrives with it.
+const BODY_BUFFER_BYTES: usize = 16 << 10;
 
-/// Bytes between the name of a header and its value, and after the value.
-const HEADER_MARKS_BYTES: usize = ": \r\n".len();
+/// The bytes between a header's name and its value, and after the value.
+const HEADER_SEPARATOR_BYTES: usize = ": \r\n".len();
 
-/// Bytes of a request line beside its method and target, with the empty line
-/// after the headers.
-const LINE_MARKS_BYTES: usize = "  HTTP/1.1\r\n\r\n".len();
+/// The bytes of a request line other than its method and target, and of the
+/// empty line after the headers.
+const REQUEST_LINE_OVERHEAD_BYTES: usize = "  HTTP/1.1\r\n\r\n".len();
 
-/// Bytes that a connection accepted under some limits may buffer.
+/// Returns the maximum buffer size, in bytes, of a connection that is accepted
+/// under `limits`.
 pub fn buffer_bytes(limits: Limits) -> usize {
-    BUFFER_BYTES.max(limits.max_header_bytes + BESIDE_HEAD_BYTES)
+    MIN_BUFFER_BYTES.max(limits.max_header_bytes + BODY_BUFFER_BYTES)
 }
 
-/// Bytes of a request's head, as it is usually written.
+/// Returns the size of a request's head in bytes, in its usual form.
 pub fn head_bytes(parts: &Parts) -> usize {
     let headers = parts.headers.iter().map(|(name, value)| {
-        name.as_str().len() + value.len() + HEADER_MARKS_BYTES
+        name.as_str().len() + value.len() + HEADER_SEPARATOR_BYTES
     });
     let method = parts.method.as_str().len();
-    let target = target_bytes(parts);
-    LINE_MARKS_BYTES + method + target + headers.sum::<usize>()
+    let target = request_target_bytes(parts);
+    REQUEST_LINE_OVERHEAD_BYTES + method + target + headers.sum::<usize>()
 }
 
-fn target_bytes(parts: &Parts) -> usize {
+fn request_target_bytes(parts: &Parts) -> usize {
     let path = parts.uri.path_and_query().map_or(0, |p| p.as_str().len());
     let host = parts.uri.authority().map_or(0, |a| a.as_str().len());
     path + host
--- a/crates/raildale/src/fleet/entry/hedge.rs
+++ b/crates/raildale/src/fleet/entry/hedge.rs
@@ -1,8 +1,8 @@
-//! A second attempt beside one whose target is silent.
+//! Hedging: a second attempt while the first one's target is silent.
 //!
-//! Silence may come from the way, from an agent or from this process, and an
-//! answer in progress is not given up for it: the attempt stays until another
-//! target has begun to answer, or the request's time is over.
+//! Silence may come from the network, from an agent or from this process, and
+//! an answer in progress is not abandoned for it: the first attempt continues
+//! until another target has begun to answer, or the request's deadline passes.
 
 use std::{pin::Pin, rc::Rc, time::Duration};
 
@@ -21,142 +21,146 @@
     steady_clock::now_ms,
 };
 
-/// How often an attempt that brings nothing is looked at.
-const LOOK: Duration = Duration::from_millis(LOOK_MS);
+/// The interval at which a pending attempt is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(CHECK_INTERVAL_MS);
 
-/// The same in milliseconds. Silence is counted in looks: while this process
-/// does not run it reads nothing, whatever has come.
-const LOOK_MS: u64 = 100;
+/// The same in milliseconds. Silence is counted in such intervals, because
+/// while this process does not run it reads nothing, whatever has arrived.
+const CHECK_INTERVAL_MS: u64 = 100;
 
-/// What ended the wait for an attempt.
+/// Why the wait for an attempt ended.
 #[derive(Debug)]
-pub enum Ended<T, P: Dialect + Store + 'static> {
-    /// It brought something.
+pub enum HedgeOutcome<T, P: Dialect + Store + 'static> {
+    /// The attempt produced its result.
     Own(T),
-    /// Another target has begun to answer meanwhile.
-    Other(Box<Other<T, P>>),
-    /// It must not be waited for any longer.
+    /// Another target has begun to answer.
+    Other(Box<Takeover<T, P>>),
+    /// The attempt must be given up.
     Over(Cause),
 }
 
-/// A second attempt that has begun, and what became of the first.
+/// A second attempt that has begun to answer, and the state of the first.
 #[derive(Debug)]
-pub struct Other<T, P: Dialect + Store + 'static> {
+pub struct Takeover<T, P: Dialect + Store + 'static> {
     /// The second attempt.
     pub opened: Opened<P>,
-    /// Why it was made.
+    /// The silence that led to it.
     pub silence: Silence,
-    /// What the first one brought, if that was no success.
+    /// The result of the first attempt, if it failed.
     pub failed: Option<T>,
 }
 
-/// An attempt that is waited for.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
-pub struct Watched<'a> {
+pub struct PendingAttempt<'a> {
     /// Its target.
     pub target: &'a Name,
     /// Whether its answer has begun.
     pub has_begun: bool,
-    /// The event after which another target goes on.
+    /// The ID of the event after which another target resumes the stream.
     pub resume_after: Option<&'a str>,
 }
 
 impl<P: Dialect + Store + 'static> Exchange<P> {
-    /// Waits for what an attempt brings, and for another one as well while
-    /// its target is silent. What `is_good` rejects does not end the wait for
-    /// the other one.
+    /// Waits for the result of an attempt, and starts another attempt as well
+    /// while its target is silent. A result that `is_good` rejects does not
+    /// end the wait for the other attempt.
     pub async fn hedge<F: Future>(
         &mut self,
-        watched: Watched<'_>,
+        pending: PendingAttempt<'_>,
         own: F,
         is_good: impl Fn(&F::Output) -> bool,
-    ) -> Ended<F::Output, P> {
+    ) -> HedgeOutcome<F::Output, P> {
         let mut own = std::pin::pin!(own);
         let mut silent_ms = 0;
-        let mut quiet_until_ms = 0;
+        let mut next_hedge_ms = 0;
         loop {
-            let looked_ms = now_ms();
-            let left_ms = self.due_ms(watched).saturating_sub(looked_ms);
-            let look = LOOK.min(Duration::from_millis(left_ms));
-            if let Ok(brought) = tokio::time::timeout(look, &mut own).await {
-                return Ended::Own(brought);
+            let checked_ms = now_ms();
+            let remaining_ms =
+                self.deadline_ms(pending).saturating_sub(checked_ms);
+            let interval =
+                CHECK_INTERVAL.min(Duration::from_millis(remaining_ms));
+            if let Ok(output) = tokio::time::timeout(interval, &mut own).await
+            {
+                return HedgeOutcome::Own(output);
             }
-            silent_ms += LOOK_MS;
-            if let Some(cause) = self.over(watched) {
-                return Ended::Over(cause);
+            silent_ms += CHECK_INTERVAL_MS;
+            if let Some(cause) = self.stop_cause(pending) {
+                return HedgeOutcome::Over(cause);
             }
-            if now_ms() < quiet_until_ms {
+            if now_ms() < next_hedge_ms {
                 continue;
             }
-            let Some(silence) = self.silence(watched, silent_ms) else {
+            let Some(silence) = self.silence(pending, silent_ms) else {
                 continue;
             };
-            match self.race(watched, own.as_mut(), &is_good).await {
-                Raced::Own(brought) => return Ended::Own(brought),
-                Raced::Other(opened, failed) => {
+            match self.race(pending, own.as_mut(), &is_good).await {
+                RaceOutcome::Own(output) => return HedgeOutcome::Own(output),
+                RaceOutcome::Other(opened, failed) => {
                     let opened = *opened;
-                    let other = Other { opened, silence, failed };
-                    return Ended::Other(Box::new(other));
+                    let other = Takeover { opened, silence, failed };
+                    return HedgeOutcome::Other(Box::new(other));
                 }
-                Raced::Neither => {
-                    quiet_until_ms = now_ms() + RETRY_AFTER_LEAST_MS;
+                RaceOutcome::Neither => {
+                    next_hedge_ms = now_ms() + RETRY_AFTER_LEAST_MS;
                 }
             }
         }
     }
 
-    /// Asks another target, beside the attempt.
+    /// Sends the request to another target while the first attempt continues.
     async fn race<F: Future>(
         &mut self,
-        watched: Watched<'_>,
+        pending: PendingAttempt<'_>,
         mut own: Pin<&mut F>,
         is_good: &impl Fn(&F::Output) -> bool,
-    ) -> Raced<F::Output, P> {
-        let tries = self.request.tried.len();
-        let over = too_old(self.host.clone(), self.request.clone(), watched);
+    ) -> RaceOutcome<F::Output, P> {
+        let attempts_before = self.request.tried.len();
+        let over =
+            version_too_old(self.host.clone(), self.request.clone(), pending);
         let mut over = std::pin::pin!(over);
-        // Boxed, since the other attempt may be hedged in turn.
-        let mut beginning: Pin<Box<dyn Future<Output = _> + '_>> =
-            Box::pin(self.begin(watched.resume_after));
+        // Boxed because the other attempt may be hedged in turn.
+        let mut opening: Pin<Box<dyn Future<Output = _> + '_>> =
+            Box::pin(self.open_until_begun(pending.resume_after));
         let mut failed = None;
-        let mut is_dropped = true;
-        let raced = loop {
+        let mut is_abandoned = true;
+        let outcome = loop {
             tokio::select! {
                 biased;
-                brought = &mut own, if failed.is_none() => {
-                    if is_good(&brought) {
-                        break Raced::Own(brought);
+                output = &mut own, if failed.is_none() => {
+                    if is_good(&output) {
+                        break RaceOutcome::Own(output);
                     }
-                    failed = Some(brought);
+                    failed = Some(output);
                 }
-                begun = &mut beginning => {
-                    is_dropped = false;
-                    break Raced::of(begun, failed);
+                second = &mut opening => {
+                    is_abandoned = false;
+                    break RaceOutcome::of(second, failed);
                 }
-                () = &mut over => break Raced::of(None, failed),
+                () = &mut over => break RaceOutcome::of(None, failed),
             }
         };
-        drop(beginning);
-        // What was sent and is not waited for may run.
-        let is_sent = self.request.tried.len() > tries;
-        self.request.may_have_run |= is_dropped && is_sent;
+        drop(opening);
+        // A target may still run what was sent to it and then abandoned.
+        let is_sent = self.request.tried.len() > attempts_before;
+        self.request.may_have_run |= is_abandoned && is_sent;
         let mut gateway = self.host.gateway.borrow_mut();
         gateway.stop_waiting(&mut self.request);
         drop(gateway);
-        self.host.metrics.add("hedges_total", raced.label(), 1);
-        raced
+        self.host.metrics.add("hedges_total", outcome.label(), 1);
+        outcome
     }
 
-    /// Sends the request to another target until its answer has begun;
-    /// `None` if there is none, or it is no success.
-    async fn begin(
+    /// Sends the request to other targets until the answer of one has begun.
+    /// Returns `None` if no target answers or the answer is not a success.
+    async fn open_until_begun(
         &mut self,
         resume_after: Option<&str>,
     ) -> Option<Opened<P>> {
         let mut opened = self.open(resume_after).await.ok()?;
         let is_success = opened.response.status().is_success();
         let has_begun = is_success
-            && (!opened.is_event_stream || opened.read_event().await);
+            && (!opened.is_event_stream || opened.read_first_event().await);
         if !has_begun {
             self.request.may_have_run = true;
             return None;
@@ -164,18 +168,18 @@
         Some(opened)
     }
 
-    /// Why an attempt must not be waited for any longer; `None` if it may.
-    fn over(&self, watched: Watched<'_>) -> Option<Cause> {
-        if now_ms() >= self.due_ms(watched) {
+    /// Returns why an attempt must be given up; `None` if it may continue.
+    fn stop_cause(&self, pending: PendingAttempt<'_>) -> Option<Cause> {
+        if now_ms() >= self.deadline_ms(pending) {
             return Some(Cause::Deadline);
         }
-        let is_too_old = is_too_old(&self.host, &self.request, watched);
+        let is_too_old = is_too_old(&self.host, &self.request, pending);
         is_too_old.then_some(Cause::Version)
     }
 
-    /// When an attempt is over, whatever it has brought.
-    fn due_ms(&self, watched: Watched<'_>) -> u64 {
-        match watched.has_begun {
+    /// Returns when an attempt must end, whatever it has produced.
+    fn deadline_ms(&self, pending: PendingAttempt<'_>) -> u64 {
+        match pending.has_begun {
             true => self.request.answer_due_ms(),
             false => self.request.due_ms,
         }
@@ -183,72 +187,75 @@
 
     fn silence(
         &self,
-        watched: Watched<'_>,
+        pending: PendingAttempt<'_>,
         silent_ms: u64,
     ) -> Option<Silence> {
         self.host.gateway.borrow().silence(
             now_ms(),
             &self.request,
-            watched.target,
+            pending.target,
             silent_ms,
-            watched.has_begun,
+            pending.has_begun,
         )
     }
 }
 
-/// Which of two attempts came first.
-enum Raced<T, P: Dialect + Store + 'static> {
-    /// The one that was silent.
+/// Which of two attempts answered first.
+enum RaceOutcome<T, P: Dialect + Store + 'static> {
+    /// The first attempt, which was silent.
     Own(T),
-    /// The other one; beside it what the silent one brought, if it failed.
+    /// The second attempt, with the result of the first if that failed.
     Other(Box<Opened<P>>, Option<T>),
-    /// None so far.
+    /// Neither.
     Neither,
 }
 
-impl<T, P: Dialect + Store + 'static> Raced<T, P> {
-    /// Of a second attempt that is over, beside a first that may have failed.
-    fn of(begun: Option<Opened<P>>, failed: Option<T>) -> Raced<T, P> {
-        match (begun, failed) {
-            (Some(opened), failed) => Raced::Other(Box::new(opened), failed),
-            (None, Some(failed)) => Raced::Own(failed),
-            (None, None) => Raced::Neither,
+impl<T, P: Dialect + Store + 'static> RaceOutcome<T, P> {
+    /// Returns the outcome for a second attempt that has ended and a first
+    /// that may have failed.
+    fn of(second: Option<Opened<P>>, failed: Option<T>) -> RaceOutcome<T, P> {
+        match (second, failed) {
+            (Some(opened), failed) => {
+                RaceOutcome::Other(Box::new(opened), failed)
+            }
+            (None, Some(failed)) => RaceOutcome::Own(failed),
+            (None, None) => RaceOutcome::Neither,
         }
     }
 
-    /// The metric's label for it.
+    /// Returns the label of the metric.
     fn label(&self) -> &'static str {
         match self {
-            Raced::Own(_) => "ended=\"own\"",
-            Raced::Other(..) => "ended=\"other\"",
-            Raced::Neither => "ended=\"neither\"",
+            RaceOutcome::Own(_) => "ended=\"own\"",
+            RaceOutcome::Other(..) => "ended=\"other\"",
+            RaceOutcome::Neither => "ended=\"neither\"",
         }
     }
 }
 
-/// Waits until an attempt has to be withdrawn for its version.
-async fn too_old<P>(
+/// Waits until an attempt must be given up because of its version.
+async fn version_too_old<P>(
     host: Rc<EntryHost<P>>,
     request: Admission,
-    watched: Watched<'_>,
+    pending: PendingAttempt<'_>,
 ) where
     P: Dialect + Store + 'static,
 {
-    while !is_too_old(&host, &request, watched) {
-        tokio::time::sleep(LOOK).await;
+    while !is_too_old(&host, &request, pending) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Whether an attempt that has not begun must be withdrawn: its target's
-/// version is about to be too old to start on.
+/// Whether an attempt whose answer has not begun must be given up because its
+/// target's version is about to become too old to start on.
 fn is_too_old<P>(
     host: &EntryHost<P>,
     request: &Admission,
-    watched: Watched<'_>,
+    pending: PendingAttempt<'_>,
 ) -> bool
 where
     P: Dialect + Store + 'static,
 {
     let gateway = host.gateway.borrow();
-    !watched.has_begun && gateway.is_too_old(now_ms(), request, watched.target)
+    !pending.has_begun && gateway.is_too_old(now_ms(), request, pending.target)
 }
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -1,4 +1,4 @@
-//! What the store's changes mean: to routing, to the list of targets, to the
+//! Applies the store's changes to routing, to the list of targets, to the
 //! versions and to the entry hosts.
 
 use raildale_core::{
@@ -22,75 +22,78 @@
     },
 };
 
-/// A version that was named earlier than believed is logged from this much
-/// on, in milliseconds: entry hosts hear within less of one another.
-const EARLIER_LOGGED_MS: u64 = 250;
+/// The minimum correction of a version's naming time that is logged, in
+/// milliseconds: entry hosts usually hear of a version within less of one
+/// another.
+const MIN_LOGGED_CORRECTION_MS: u64 = 250;
 
-/// Who told of changes.
+/// The source of changes.
 #[derive(Debug)]
-enum Teller {
+enum ChangeSource {
     /// The store.
     Store {
-        /// Whether it tells of changes as they happen; else they may be as
-        /// old as what it told before.
-        is_prompt: bool,
+        /// Whether changes arrive as they happen. Otherwise they may be as old
+        /// as the previous answer.
+        is_continuous: bool,
     },
     /// Another entry host.
     EntryHost {
-        /// Targets that it misses and does not give up yet.
+        /// Targets whose entries have lapsed there and which it still keeps.
         lapsed: Vec<Name>,
     },
 }
 
-impl Teller {
-    /// The word for it in the log.
-    fn word(&self) -> &'static str {
+impl ChangeSource {
+    /// Returns the label for log lines.
+    fn label(&self) -> &'static str {
         match self {
-            Teller::Store { .. } => "store",
-            Teller::EntryHost { .. } => "entry host",
+            ChangeSource::Store { .. } => "store",
+            ChangeSource::EntryHost { .. } => "entry host",
         }
     }
 }
 
 impl<P: Dialect + Store + 'static> EntryHost<P> {
-    /// Takes over a whole kind that the store gave.
+    /// Replaces a whole kind by a snapshot from the store.
     pub fn replace(&self, kind: Kind, snapshot: Snapshot) {
-        self.note_told(kind, snapshot.stamp);
-        let teller = Teller::Store { is_prompt: false };
-        self.take_snapshot(kind, snapshot, Extent::default(), &teller);
+        self.check_answer_stamp(kind, snapshot.stamp);
+        let source = ChangeSource::Store { is_continuous: false };
+        self.apply_snapshot(kind, snapshot, Extent::default(), &source);
     }
 
-    /// Takes over a whole kind that another entry host gave, of which that
-    /// one knows `told`.
+    /// Replaces a whole kind by a snapshot from another entry host, whose
+    /// knowledge of it extends to `source_extent` and whose lapsed targets are
+    /// `lapsed`.
     pub fn replace_from_peer(
         &self,
         kind: Kind,
         snapshot: Snapshot,
-        told: Extent,
+        source_extent: Extent,
         lapsed: Vec<Name>,
     ) {
-        self.note_era(kind, snapshot.stamp);
-        let teller = Teller::EntryHost { lapsed };
-        self.take_snapshot(kind, snapshot, told, &teller);
+        self.record_era(kind, snapshot.stamp);
+        let source = ChangeSource::EntryHost { lapsed };
+        self.apply_snapshot(kind, snapshot, source_extent, &source);
     }
 
-    fn take_snapshot(
+    fn apply_snapshot(
         &self,
         kind: Kind,
         snapshot: Snapshot,
-        told: Extent,
-        teller: &Teller,
+        source_extent: Extent,
+        source: &ChangeSource,
     ) {
         let is_restored = self.is_of_older_era(kind);
         let progress = |object: &StoredObject| self.progress(kind, object);
-        let changes = self.known.replace(kind, snapshot, told, progress);
+        let changes =
+            self.known.replace(kind, snapshot, source_extent, progress);
         if is_restored {
-            self.log_kept(kind);
+            self.log_retained(kind);
         }
-        self.take_changes(kind, changes, teller);
+        self.apply_changes(kind, changes, source);
     }
 
-    /// Targets whose entries lapsed and may yet come back.
+    /// Returns the targets whose entries have lapsed and may still come back.
     pub fn lapsed(&self) -> Vec<Name> {
         let gateway = self.gateway.borrow();
         let lapsed = |target: &&Target| target.lapse.is_some();
@@ -100,37 +103,42 @@
 
     /// Whether the store answers, as far as this entry host knows.
     pub fn sees_store(&self) -> bool {
-        self.store_down_ms.get().is_none()
+        self.store_down_since_ms.get().is_none()
     }
 
-    /// Takes over changes of a kind that the store told, as they happened if
-    /// `is_prompt`.
+    /// Applies changes of a kind from the store. `is_continuous` says that
+    /// they arrive as they happen.
     pub fn apply(
         &self,
         kind: Kind,
         stamp: Stamp,
         changes: Vec<Change>,
-        is_prompt: bool,
+        is_continuous: bool,
     ) {
-        self.note_told(kind, stamp);
+        self.check_answer_stamp(kind, stamp);
         let progress = |object: &StoredObject| self.progress(kind, object);
         let changes = self.known.apply(kind, stamp, changes, progress);
-        self.take_changes(kind, changes, &Teller::Store { is_prompt });
+        self.apply_changes(
+            kind,
+            changes,
+            &ChangeSource::Store { is_continuous },
+        );
     }
 
-    /// Takes over what another entry host tells of versions, and how long ago
-    /// the store told which are named.
-    pub fn take_told_versions(
+    /// Handles the versions in another entry host's heartbeat. `heard_age_ms`
+    /// says how long ago it last learned from the store which versions are
+    /// named.
+    pub fn handle_peer_versions(
         &self,
-        told: Vec<ToldVersion>,
+        versions: Vec<ToldVersion>,
         heard_age_ms: Option<u64>,
     ) {
         let now = now_ms();
-        for ToldVersion { model, version, age_ms } in told {
+        for ToldVersion { model, version, age_ms } in versions {
             let named_ms = now.saturating_sub(age_ms);
             let named = NamedVersion { version, named_ms };
             let from = "from=entry host";
-            self.note_version(Name::from(model), named, from);
+            self.record_version(Name::from(model), named, from);
         }
         if let Some(age_ms) = heard_age_ms {
             let heard_ms = now.saturating_sub(age_ms);
@@ -138,18 +146,18 @@
         }
     }
 
-    /// Notes that the store answered, or did not.
-    pub fn note_store(&self, is_up: bool, detail: &str) {
-        match (is_up, self.store_down_ms.get()) {
+    /// Records that the store answered, or did not.
+    pub fn record_store_state(&self, is_up: bool, detail: &str) {
+        match (is_up, self.store_down_since_ms.get()) {
             (false, None) => {
-                self.store_down_ms.set(Some(now_ms()));
-                // Another must watch the store in this one's place.
+                self.store_down_since_ms.set(Some(now_ms()));
+                // Another entry host must watch the store instead.
                 self.briefing_due.notify_one();
                 self.log(LogEvent::PlatformDown, detail);
             }
             (true, Some(since_ms)) => {
-                self.store_down_ms.set(None);
-                self.store_back_ms.set(now_ms());
+                self.store_down_since_ms.set(None);
+                self.store_recovered_ms.set(now_ms());
                 let away_ms = now_ms() - since_ms;
                 let detail = format!("away_ms={away_ms}");
                 self.log(LogEvent::PlatformBack, &detail);
@@ -158,22 +166,23 @@
         }
     }
 
-    /// Notes that the process, or its machine, stood still: what was open to
-    /// the store may be dead, and what changed meanwhile is asked for on new
-    /// connections, now and not after a time-out.
-    pub fn note_stood_still(&self, still_ms: u64) {
+    /// Handles a suspension of the process or its machine: connections to the
+    /// store may be dead, and changes since then are requested on new
+    /// connections at once instead of after a time-out.
+    pub fn on_stall(&self, still_ms: u64) {
         self.log(LogEvent::StoodStill, &format!("still_ms={still_ms}"));
         self.store_silent.notify_waiters();
     }
 
-    /// Drops targets whose entries lapsed and did not come back.
+    /// Removes targets whose entries lapsed and did not come back, and other
+    /// expired state.
     pub fn sweep(&self) {
         self.sweep_departed();
         let now = now_ms();
         let store = StoreView {
             is_watcher: self.members.borrow().is_watcher(now),
             sees_store: self.sees_store(),
-            back_ms: self.store_back_ms.get(),
+            back_ms: self.store_recovered_ms.get(),
         };
         let is_over = |target: &&Target| {
             target.lapse.is_some_and(|lapse| lapse.is_over(now, store))
@@ -182,62 +191,69 @@
         gateway.quarantine.sweep(now);
         gateway.targets.sweep_notices(now);
         let targets = gateway.targets.iter().filter(is_over);
-        let gone: Vec<Name> =
+        let expired: Vec<Name> =
             targets.map(|target| target.spec.id.clone()).collect();
-        let gone_at = self.known.stamp(Kind::Targets);
-        for id in gone {
-            gateway.targets.depart(now, &id, gone_at);
+        let stamp = self.known.stamp(Kind::Targets);
+        for id in expired {
+            gateway.targets.depart(now, &id, stamp);
             self.log(LogEvent::TargetGone, &format!("target={id} lapsed"));
         }
     }
 
-    fn take_changes(&self, kind: Kind, changes: Vec<Change>, teller: &Teller) {
+    fn apply_changes(
+        &self,
+        kind: Kind,
+        changes: Vec<Change>,
+        source: &ChangeSource,
+    ) {
         if !changes.is_empty() {
             self.packed.borrow_mut().forget(kind);
         }
-        // Others learn of it from the next heartbeat: that is now. In a large
-        // fleet those next door hear of it from whoever watches the store.
+        // Sends the next heartbeat, from which others learn of the change, at
+        // once. In a large fleet those nearby hear of it from the watchers of
+        // the store.
         let is_large = self.members.borrow().is_large();
-        let is_first = matches!(teller, Teller::Store { .. });
+        let is_first = matches!(source, ChangeSource::Store { .. });
         if !changes.is_empty() && (is_first || !is_large) {
             self.briefing_due.notify_one();
         }
         for change in changes {
             match (kind, change) {
                 (Kind::Configuration, Change::Put(object)) => {
-                    self.take_routing(&object, teller);
+                    self.apply_routing(&object, source);
                 }
                 (Kind::Targets, Change::Put(object)) => {
-                    self.take_target(&object);
+                    self.apply_target(&object);
                 }
                 (Kind::Targets, Change::Deleted(name)) => {
-                    self.lose_target(&name, teller, false);
+                    self.remove_target(&name, source, false);
                 }
                 (Kind::Targets, Change::Lost(name)) => {
-                    self.lose_target(&name, teller, true);
+                    self.remove_target(&name, source, true);
                 }
                 (Kind::Versions, Change::Put(object)) => {
-                    self.take_version(&object, teller);
+                    self.apply_version(&object, source);
                 }
                 (Kind::Quarantine, Change::Put(object)) => {
-                    self.take_record(&object);
+                    self.apply_record(&object);
                 }
                 (Kind::Quarantine, Change::Deleted(name)) => {
-                    self.lift(&name);
+                    self.remove_record(&name);
                 }
                 _ => {}
             }
         }
         if kind == Kind::EntryHosts {
-            self.take_members();
+            self.apply_members();
         }
     }
 
-    fn take_routing(&self, object: &StoredObject, teller: &Teller) {
-        let from = teller.word();
+    fn apply_routing(&self, object: &StoredObject, source: &ChangeSource) {
+        let from = source.label();
         let decoded = self.platform.routing(&object.body);
         let unreadable = LogEvent::SettingsUnreadable;
-        let Some(routing) = self.readable(object, decoded, unreadable) else {
+        let Some(routing) = self.decode_or_log(object, decoded, unreadable)
+        else {
             return;
         };
         let detail = format!(
@@ -247,9 +263,13 @@
         let services_before = self.service_names();
         let is_new = self.gateway.borrow_mut().set_routing(routing);
         if self.service_names() != services_before {
-            // Targets of services that are named only now, or no longer.
+            // Adds targets of services that are new in the configuration, and
+            // drops those of services that it no longer names.
             let targets = self.known.snapshot(Kind::Targets);
-            targets.objects.iter().for_each(|object| self.take_target(object));
+            targets
+                .objects
+                .iter()
+                .for_each(|object| self.apply_target(object));
         }
         let event = match is_new {
             true => LogEvent::SettingsInForce,
@@ -258,7 +278,7 @@
         self.log(event, &detail);
     }
 
-    /// The services of the configuration in force.
+    /// Returns the services of the configuration in force, sorted.
     fn service_names(&self) -> Vec<Name> {
         let gateway = self.gateway.borrow();
         let services = gateway.routing().map(|routing| {
@@ -270,11 +290,12 @@
         services.unwrap_or_default()
     }
 
-    pub(super) fn take_target(&self, object: &StoredObject) {
+    pub(super) fn apply_target(&self, object: &StoredObject) {
         let decoded = self.platform.target(object);
         let unreadable = LogEvent::ObjectUnreadable;
-        let Some(spec) = self.readable(object, decoded, unreadable) else {
-            // Whatever stood there before names no target any more.
+        let Some(spec) = self.decode_or_log(object, decoded, unreadable)
+        else {
+            // The previous content of the entry names no target any more.
             self.gateway.borrow_mut().targets.remove(&object.name);
             return;
         };
@@ -297,88 +318,99 @@
         );
         self.gateway.borrow_mut().targets.put(spec);
         self.log(LogEvent::TargetListed, &detail);
-        self.note_ends();
+        self.handle_ended_targets();
     }
 
-    /// Whether the configuration names a service; all are taken while there is
-    /// none. A target of another could only take an address from one that is
-    /// used.
+    /// Whether the configuration names a service; true for all while there is
+    /// no configuration. A target of an unknown service could only take the
+    /// address of one that is in use.
     fn is_configured(&self, service: &str) -> bool {
         let gateway = self.gateway.borrow();
         let routing = gateway.routing();
         routing.is_none_or(|routing| routing.service(service).is_some())
     }
 
-    /// Takes in that a target has left the list; if `is_lost`, in a
-    /// restore of the store.
-    fn lose_target(&self, name: &Name, teller: &Teller, is_lost: bool) {
+    /// Handles the removal of a target from the list. `is_lost` says that a
+    /// restore of the store removed it.
+    fn remove_target(
+        &self,
+        name: &Name,
+        source: &ChangeSource,
+        is_lost: bool,
+    ) {
         let now = now_ms();
         let is_doubtful = is_lost
-            || match teller {
-                Teller::EntryHost { lapsed } => lapsed.contains(name),
-                Teller::Store { .. } => {
+            || match source {
+                ChangeSource::EntryHost { lapsed } => lapsed.contains(name),
+                ChangeSource::Store { .. } => {
                     !self.sees_store()
-                        || now < self.store_back_ms.get() + LAPSE_MS
+                        || now < self.store_recovered_ms.get() + LAPSE_MS
                 }
             };
         let mut gateway = self.gateway.borrow_mut();
         if is_doubtful {
             if let Some(target) = gateway.targets.get_mut(name) {
-                let is_told = matches!(teller, Teller::EntryHost { .. });
+                let is_told = matches!(source, ChangeSource::EntryHost { .. });
                 target.lapse.get_or_insert(Lapse { at_ms: now, is_told });
             }
         } else {
-            let gone = self.known.stamp(Kind::Targets);
-            gateway.targets.depart(now, name, gone);
+            let stamp = self.known.stamp(Kind::Targets);
+            gateway.targets.depart(now, name, stamp);
         }
         let detail = format!("target={name} doubtful={is_doubtful}");
         self.log(LogEvent::TargetGone, &detail);
     }
 
-    fn take_version(&self, object: &StoredObject, teller: &Teller) {
-        let from = teller.word();
+    fn apply_version(&self, object: &StoredObject, source: &ChangeSource) {
+        let from = source.label();
         let decoded = self.platform.named_weights(&object.body);
         let unreadable = LogEvent::ObjectUnreadable;
-        let Some(named) = self.readable(object, decoded, unreadable) else {
+        let Some(named) = self.decode_or_log(object, decoded, unreadable)
+        else {
             return;
         };
         let is_known =
             self.gateway.borrow().knows_version(&named.model, named.version);
-        // Nothing here says when it was named: whoever told of it knows
-        // better.
+        // The object does not contain the time of naming: whoever reported the
+        // version first knows it better.
         if is_known {
             return;
         }
         let now = now_ms();
-        let named_ms = match teller {
-            // Its heartbeats tell the age.
-            Teller::EntryHost { .. } => now,
-            Teller::Store { is_prompt: true } => now,
-            Teller::Store { is_prompt: false } => {
+        let named_ms = match source {
+            // Its heartbeats contain the age.
+            ChangeSource::EntryHost { .. } => now,
+            ChangeSource::Store { is_continuous: true } => now,
+            ChangeSource::Store { is_continuous: false } => {
                 self.gateway.borrow().earliest_naming_ms(now)
             }
         };
         let version = NamedVersion { version: named.version, named_ms };
-        let source = format!("revision={} from={from}", object.stamp);
-        self.note_version(named.model, version, &source);
+        let source_text = format!("revision={} from={from}", object.stamp);
+        self.record_version(named.model, version, &source_text);
     }
 
-    /// Notes a version, and logs what is new by it.
-    fn note_version(&self, model: Name, named: NamedVersion, source: &str) {
+    /// Records a version, and logs what is new about it.
+    fn record_version(
+        &self,
+        model: Name,
+        named: NamedVersion,
+        source_text: &str,
+    ) {
         let mut gateway = self.gateway.borrow_mut();
-        let news = gateway.note_version(model.clone(), named);
-        let is_told = match news {
+        let change = gateway.note_version(model.clone(), named);
+        let is_logged = match change {
             VersionNews::New => true,
-            VersionNews::Earlier(ms) => ms >= EARLIER_LOGGED_MS,
+            VersionNews::Earlier(ms) => ms >= MIN_LOGGED_CORRECTION_MS,
             VersionNews::Known => false,
         };
-        if news == VersionNews::New {
-            // Agents learn of it now.
+        if change == VersionNews::New {
+            // Agents learn of it at once.
             self.briefing_due.notify_one();
         }
-        if is_told {
+        if is_logged {
             let detail = format!(
-                "model={model} version={} age_ms={} {source}",
+                "model={model} version={} age_ms={} {source_text}",
                 named.version,
                 now_ms().saturating_sub(named.named_ms)
             );
@@ -386,31 +418,31 @@
         }
     }
 
-    fn take_members(&self) {
+    fn apply_members(&self) {
         let snapshot = self.known.snapshot(Kind::EntryHosts);
         let entries = snapshot
             .objects
             .iter()
             .filter_map(|object| {
                 let decoded = self.platform.member(object);
-                self.readable(object, decoded, LogEvent::ObjectUnreadable)
+                self.decode_or_log(object, decoded, LogEvent::ObjectUnreadable)
             })
             .collect();
         self.members.borrow_mut().set_listed(now_ms(), entries);
     }
 
-    /// What an object decodes to; `None`, with the event in the log, if it
-    /// does not.
-    pub(super) fn readable<T>(
+    /// Returns the decoded object; `None` after logging `failure_event` if it
+    /// does not decode.
+    pub(super) fn decode_or_log<T>(
         &self,
         object: &StoredObject,
         decoded: Result<T, Error>,
-        otherwise: LogEvent,
+        failure_event: LogEvent,
     ) -> Option<T> {
         match decoded {
             Ok(value) => Some(value),
             Err(error) => {
-                self.log(otherwise, &format!("{}: {error}", object.name));
+                self.log(failure_event, &format!("{}: {error}", object.name));
                 None
             }
         }
--- a/crates/raildale/src/fleet/entry/host/known_store.rs
+++ b/crates/raildale/src/fleet/entry/host/known_store.rs
@@ -1,4 +1,4 @@
-//! What an entry host knows of the store, by kind of object.
+//! The local copy of the store, by kind of object.
 
 use std::{cell::RefCell, collections::BTreeMap};
 
@@ -6,39 +6,41 @@
     Change, Extent, Kind, Mirror, Progress, Snapshot, Stamp, StoredObject,
 };
 
-/// What is known of the store.
+/// The local copy of the store.
 #[derive(Debug)]
 pub struct KnownStore {
     kinds: RefCell<BTreeMap<Kind, KnownKind>>,
 }
 
-/// What is known of one kind.
+/// The local copy of one kind.
 #[derive(Debug, Default)]
 struct KnownKind {
     mirror: Mirror,
-    /// Its last change, which may be older than the store's last of all
-    /// kinds, and how far back it is known.
+    /// The stamp of the kind's last change, which may be older than the
+    /// store's last change of any kind, and the oldest era that the copy
+    /// covers.
     extent: Extent,
 }
 
 impl KnownStore {
-    /// Nothing known yet.
+    /// Creates an empty copy.
     pub(super) fn new() -> KnownStore {
         let kinds = Kind::ALL.map(|kind| (kind, KnownKind::default()));
         KnownStore { kinds: RefCell::new(BTreeMap::from(kinds)) }
     }
 
-    /// The store's change up to which a kind is known.
+    /// Returns the stamp of the store's change up to which a kind is known.
     pub fn stamp(&self, kind: Kind) -> Stamp {
         self.kinds.borrow()[&kind].mirror.stamp()
     }
 
-    /// What others may compare of a kind.
+    /// Returns the extent of a kind, which other entry hosts compare with
+    /// theirs.
     pub fn extent(&self, kind: Kind) -> Extent {
         self.kinds.borrow()[&kind].extent
     }
 
-    /// All that is known of a kind.
+    /// Returns all known objects of a kind.
     pub fn snapshot(&self, kind: Kind) -> Snapshot {
         self.kinds.borrow()[&kind].mirror.snapshot()
     }
@@ -48,25 +50,25 @@
         self.kinds.borrow()[&kind].mirror.is_known()
     }
 
-    /// Takes over a whole kind, of which whoever gave it knows `told`; returns
-    /// what changed by it.
+    /// Replaces a whole kind by a snapshot whose source knows it to the extent
+    /// `source_extent`. Returns the resulting changes.
     pub(super) fn replace(
         &self,
         kind: Kind,
         snapshot: Snapshot,
-        told: Extent,
+        source_extent: Extent,
         progress: impl Fn(&StoredObject) -> Option<Progress>,
     ) -> Vec<Change> {
         let newest = snapshot.objects.iter().map(|o| o.stamp).max();
-        let newest = newest.max(Some(told.changed));
-        let oldest_era = told.oldest_era.min(snapshot.stamp.era);
+        let newest = newest.max(Some(source_extent.changed));
+        let oldest_era = source_extent.oldest_era.min(snapshot.stamp.era);
         self.update(kind, newest, oldest_era, |mirror| {
             mirror.replace(snapshot, progress)
         })
     }
 
-    /// Takes over changes of a kind that lead up to `stamp`; returns those
-    /// that were news.
+    /// Applies changes of a kind that lead up to `stamp`. Returns those that
+    /// were new.
     pub(super) fn apply(
         &self,
         kind: Kind,
@@ -74,7 +76,8 @@
         changes: Vec<Change>,
         progress: impl Fn(&StoredObject) -> Option<Progress>,
     ) -> Vec<Change> {
-        // A deletion does not tell its own stamp: it was by the answer's.
+        // A deletion does not carry its own stamp; it happened by the
+        // answer's.
         let newest = changes
             .iter()
             .map(|change| match change {
--- a/crates/raildale/src/fleet/entry/host/mod.rs
+++ b/crates/raildale/src/fleet/entry/host/mod.rs
@@ -1,10 +1,10 @@
-//! What the tasks of an entry host share.
+//! The state that the tasks of an entry host share.
 //!
-//! * [`known_store`]: what is known of the store, by kind.
-//! * `changes`: what the store's changes mean to routing and members.
-//! * `notices`: what targets say of themselves.
-//! * `restores`: that the store was restored from an older copy.
-//! * `suspects`: what is told and written of requests that end their targets.
+//! * [`known_store`]: the local copy of the store, by kind of object.
+//! * `changes`: applies the store's changes to routing and members.
+//! * `notices`: what targets announce in their answers.
+//! * `restores`: detection of restores of the store from an older copy.
+//! * `suspects`: losses and records of requests that end their targets.
 
 mod changes;
 pub mod known_store;
@@ -45,114 +45,121 @@
     metrics::Metrics,
 };
 
-/// What the tasks of an entry host share.
+/// The state that the tasks of an entry host share.
 #[derive(Debug)]
 pub struct EntryHost<P> {
     /// The platform's adapter.
     pub platform: P,
-    /// Its own settings.
+    /// The settings of this process.
     pub node: NodeSettings,
-    /// Where callers reach it.
+    /// The addresses on which it listens for callers.
     pub listen: ListenSettings,
-    /// Requests: beliefs and choices.
+    /// Routing, targets and the state of requests.
     pub gateway: RefCell<Gateway>,
-    /// The entry hosts.
+    /// The entry hosts of the fleet.
     pub members: RefCell<Members>,
-    /// Connections to targets.
+    /// Kept connections to targets.
     pub pool: Pool,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Callers' requests in progress.
+    /// The number of callers' requests in progress.
     pub in_progress: Cell<usize>,
-    /// Set once callers' connections are to end as soon as what they carry
-    /// is written; each of them listens to it.
-    pub ending: watch::Sender<bool>,
-    /// Set once it has been told to stop.
+    /// Set once callers' connections must close as soon as the answers in
+    /// progress are written; each connection subscribes to it.
+    pub closing: watch::Sender<bool>,
+    /// When it was told to stop, in milliseconds of the steady clock; `None`
+    /// before that.
     pub leaving_since_ms: Cell<Option<u64>>,
-    /// How long callers may keep the addresses, in seconds.
+    /// How long callers may cache the list of addresses, in seconds.
     pub address_ttl_s: f64,
-    /// Wakes whoever tells the agents.
+    /// Wakes the task that sends heartbeats and briefings.
     pub briefing_due: tokio::sync::Notify,
-    /// Wakes whoever tells the entry hosts what they must not hear late: that
-    /// a request lost a target, or that a target takes less.
-    pub news_due: tokio::sync::Notify,
-    /// Wakes every watch of the store: connections to it have gone silent.
+    /// Wakes the task that sends urgent heartbeats, after a request has lost a
+    /// target or a target has begun to take less.
+    pub urgent_heartbeat_due: tokio::sync::Notify,
+    /// Wakes every watch of the store after connections to it have gone
+    /// silent.
     pub store_silent: tokio::sync::Notify,
-    /// Wakes every watch of the store: it was restored, and all is listed
-    /// anew.
+    /// Wakes every watch of the store after it was restored, so that all kinds
+    /// are listed again.
     pub store_restored: tokio::sync::Notify,
-    /// What is known of the store.
+    /// The local copy of the store.
     pub known: KnownStore,
-    /// Snapshots, packed for other entry hosts.
+    /// Cached snapshots, packed for other entry hosts.
     pub packed: RefCell<PackedSnapshots>,
-    /// Questions for a kind that took too long, in a row.
-    pub late_answers: Cell<u32>,
-    /// Kinds that another entry host is being asked for.
-    asking: RefCell<BTreeSet<Kind>>,
-    /// Culprits whose records the store is being asked to take or drop.
-    pub writing: RefCell<BTreeSet<Fingerprint>>,
+    /// The number of consecutive fetches from other entry hosts that timed
+    /// out, limited to the maximum number of doublings plus one.
+    pub fetch_timeouts: Cell<u32>,
+    /// Kinds that are being fetched from another entry host.
+    fetching: RefCell<BTreeSet<Kind>>,
+    /// Fingerprints whose stored records are being written or deleted.
+    pub claimed_records: RefCell<BTreeSet<Fingerprint>>,
     started_ms: u64,
-    /// One that was told nothing for this long asks the store whatever others
-    /// there are, in milliseconds.
-    untold_ms: u64,
-    /// Since when the store has not answered.
-    store_down_ms: Cell<Option<u64>>,
-    /// When the store last answered again; 0 if it was never away.
-    store_back_ms: Cell<u64>,
-    /// The highest era of the store that was heard of; `None` before the
-    /// first.
+    /// How long after its start this entry host reads a kind that it does not
+    /// know from the store itself, in milliseconds. Not used in a large fleet.
+    store_read_delay_ms: u64,
+    /// Since when the store has not answered; `None` while it does.
+    store_down_since_ms: Cell<Option<u64>>,
+    /// When the store last recovered from an outage or was restored; 0 if
+    /// neither has happened.
+    store_recovered_ms: Cell<u64>,
+    /// The highest era of the store that is known; `None` before the first.
     store_era: Cell<Option<u64>>,
-    /// The last answers of the store that told less than was known, by kind.
-    told_older: RefCell<BTreeMap<Kind, Stamp>>,
-    /// From the signal to stop until the process is killed.
+    /// The stamps of the last answers of the store that were older than the
+    /// local copy, by kind.
+    older_answers: RefCell<BTreeMap<Kind, Stamp>>,
+    /// The time from the signal to stop until the process is killed, in
+    /// milliseconds.
     grace_ms: u64,
     name: Name,
 }
 
-/// How long callers keep the addresses, in seconds: short, so that one that
-/// dies is left out soon.
+/// How long callers may cache the list of addresses, in seconds: short, so
+/// that an entry host that dies is soon left out.
 const ADDRESS_TTL_S: f64 = 2.0;
 
-/// How long one that starts listens before it asks the store, in
+/// How long a starting entry host listens before it asks the store, in
 /// milliseconds: others that know more send a heartbeat within 400 ms.
-const LISTEN_MS: u64 = 450;
+const INITIAL_LISTEN_MS: u64 = 450;
 
-/// The least time after which one that was told nothing asks the store whatever
-/// others there are, in milliseconds.
-const UNTOLD_MS: u64 = 1_200;
+/// The minimum time after its start until an entry host reads an unknown kind
+/// from the store itself, in milliseconds.
+const MIN_STORE_READ_DELAY_MS: u64 = 1_200;
 
-/// What is added to that at random: after a loss of all, hundreds would read
-/// the configuration at once, and whoever has it first tells those next door.
-const UNTOLD_SPREAD_MS: u64 = 2_400;
+/// The maximum random addition to that, in milliseconds: after a loss of all,
+/// hundreds would read the configuration at once, and the first that has it
+/// passes it on.
+const STORE_READ_JITTER_MS: u64 = 2_400;
 
-/// Time between two looks at what still runs while leaving.
-const LEAVE_LOOK: Duration = Duration::from_millis(50);
+/// The interval at which a leaving entry host checks for requests in progress.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is kept free before the process is killed, in milliseconds.
+/// The time between the planned exit and the kill, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 500;
 
-/// Requests that still wait for a target are refused this long before that, in
-/// milliseconds: time to write their refusals, with a margin for a process
-/// that runs late. The figure is an estimate.
-const LAST_REFUSALS_MS: u64 = 500;
+/// How long before the planned exit requests that still wait for a target are
+/// refused, in milliseconds: time to write the refusals, with a margin for a
+/// process that runs late. The value is an estimate.
+const REFUSAL_MARGIN_MS: u64 = 500;
 
-/// A leaving entry host takes nothing new this long before it is killed, in
-/// milliseconds: most streams end within it. Callers send elsewhere by then.
-const LAST_CALL_MS: u64 = 5_000;
+/// How long before it is killed a leaving entry host refuses new requests, in
+/// milliseconds: most streams end within that time. Callers use other entry
+/// hosts by then.
+const NO_NEW_REQUESTS_MS: u64 = 5_000;
 
-/// A leaving entry host stays at least this long, in milliseconds: callers
-/// keep the addresses for a while.
-const LEAVE_LEAST_MS: u64 = 4_500;
+/// The minimum time that a leaving entry host stays, in milliseconds: callers
+/// cache its address for a while.
+const MIN_LEAVE_MS: u64 = 4_500;
 
 impl<P: Dialect + Store + 'static> EntryHost<P> {
-    /// An entry host that knows nothing yet.
+    /// Creates an entry host that knows nothing yet.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Config`] if the settings lack where callers reach it.
+    /// [`ErrorKind::Config`] if the settings lack the `listen` section.
     pub fn new(file: &FleetFile, platform: P) -> Result<EntryHost<P>, Error> {
         let listen = file.listen.clone().ok_or_else(|| {
-            Error::new(ErrorKind::Config, "listen: an entry host needs it")
+            Error::new(ErrorKind::Config, "listen: required for an entry host")
         })?;
         let node = file.node.clone();
         let data_centre = Name::from(node.data_centre.as_str());
@@ -179,36 +186,37 @@
             pool: Pool::new(),
             metrics: Metrics::new(),
             in_progress: Cell::new(0),
-            ending: watch::Sender::new(false),
+            closing: watch::Sender::new(false),
             leaving_since_ms: Cell::new(None),
             address_ttl_s: ADDRESS_TTL_S.min(bounds.ttl_max_s),
             briefing_due: tokio::sync::Notify::new(),
-            news_due: tokio::sync::Notify::new(),
+            urgent_heartbeat_due: tokio::sync::Notify::new(),
             store_silent: tokio::sync::Notify::new(),
             store_restored: tokio::sync::Notify::new(),
             known: KnownStore::new(),
             packed: RefCell::default(),
-            late_answers: Cell::default(),
-            asking: RefCell::default(),
-            writing: RefCell::default(),
+            fetch_timeouts: Cell::default(),
+            fetching: RefCell::default(),
+            claimed_records: RefCell::default(),
             started_ms: now_ms(),
-            untold_ms: UNTOLD_MS + rand::random_range(0..UNTOLD_SPREAD_MS),
-            store_down_ms: Cell::new(None),
-            store_back_ms: Cell::new(0),
+            store_read_delay_ms: MIN_STORE_READ_DELAY_MS
+                + rand::random_range(0..STORE_READ_JITTER_MS),
+            store_down_since_ms: Cell::new(None),
+            store_recovered_ms: Cell::new(0),
             store_era: Cell::new(None),
-            told_older: RefCell::default(),
+            older_answers: RefCell::default(),
             grace_ms: (bounds.grace_s * 1e3) as u64,
             name: Name::from(node.name.as_str()),
             node,
         })
     }
 
-    /// Writes a numbered event to the log.
+    /// Logs a numbered event.
     pub fn log(&self, event: LogEvent, detail: &str) {
         logs::event(&self.name, event, detail);
     }
 
-    /// Writes the line of the start.
+    /// Logs the start of the process.
     pub fn log_start(&self) {
         let detail = format!(
             "role=entry ip={} data_centre={}",
@@ -217,14 +225,14 @@
         self.log(LogEvent::Started, &detail);
     }
 
-    /// Writes that the settings file was said to have changed. What it holds
-    /// for a process, its addresses and bounds, only a start takes over.
+    /// Logs a signal to reload the settings file. Its values for a process,
+    /// addresses and bounds, only take effect at a start.
     pub fn log_reload(&self) {
-        self.log(LogEvent::Reloaded, "nothing to take over while running");
+        self.log(LogEvent::Reloaded, "no setting takes effect while running");
     }
 
-    /// What callers may send: the limits in force, or those for the time
-    /// before a configuration is known.
+    /// Returns the limits on callers' requests: those in force, or the
+    /// defaults while no configuration is known.
     pub fn limits(&self) -> Limits {
         self.gateway
             .borrow()
@@ -233,57 +241,58 @@
             .unwrap_or_default()
     }
 
-    /// Whether it may take callers' requests.
+    /// Whether it is ready for callers' requests.
     pub fn is_ready(&self) -> bool {
         let knows_targets = self.known.is_known(Kind::Targets);
         let has_routing = self.gateway.borrow().routing().is_some();
         knows_targets && has_routing && !self.is_leaving()
     }
 
-    /// Whether it is to ask the store for a kind itself. One that has just
-    /// started first listens whether others know it: after a loss of power
-    /// all would read the configuration at once. Seeds do not wait: all
-    /// others turn to them. The list of entry hosts is small, and tells who
-    /// the others are.
+    /// Whether this entry host should read a kind from the store itself. After
+    /// its start it first listens whether others know the kind: after a loss
+    /// of power all would read the configuration at once. Seeds do not wait,
+    /// because all others turn to them. The list of entry hosts is read at
+    /// once: it is small, and names the others.
     pub fn may_ask_store(&self, kind: Kind) -> bool {
         let now = now_ms();
         let age_ms = now - self.started_ms;
         let is_first = self.is_seed() || kind == Kind::EntryHosts;
         // In a large fleet only watchers read thousands of targets.
         let is_large = self.members.borrow().is_large();
-        let is_untold = age_ms > self.untold_ms && !is_large;
+        let is_delay_over = age_ms > self.store_read_delay_ms && !is_large;
         match self.known.is_known(kind) {
-            false if is_first || is_untold => true,
-            _ if age_ms < LISTEN_MS => false,
+            false if is_first || is_delay_over => true,
+            _ if age_ms < INITIAL_LISTEN_MS => false,
             _ => self.members.borrow().is_watcher(now),
         }
     }
 
-    /// Whether others are told to begin with this one.
+    /// Whether this entry host is one of the seeds.
     fn is_seed(&self) -> bool {
         self.node.seeds.iter().any(|seed| seed.ip() == self.node.ip)
     }
 
-    /// Whether another entry host may be asked for a kind: one that has just
-    /// started first hears who there are, so as to ask next door.
+    /// Whether a kind may be fetched from another entry host. After its start
+    /// an entry host first learns which others there are, in order to fetch
+    /// from a near one.
     pub fn may_ask_peers(&self, kind: Kind) -> bool {
         let age_ms = now_ms() - self.started_ms;
         kind == Kind::EntryHosts
             || self.known.is_known(Kind::EntryHosts)
-            || age_ms > LISTEN_MS
+            || age_ms > INITIAL_LISTEN_MS
     }
 
-    /// Whether another entry host is being asked for a kind.
-    pub fn is_asking(&self, kind: Kind) -> bool {
-        self.asking.borrow().contains(&kind)
+    /// Whether a kind is being fetched from another entry host.
+    pub fn is_fetching(&self, kind: Kind) -> bool {
+        self.fetching.borrow().contains(&kind)
     }
 
-    /// Notes that another entry host is being asked for a kind, or no longer.
-    pub fn set_asking(&self, kind: Kind, is_asking: bool) {
-        let mut asking = self.asking.borrow_mut();
-        match is_asking {
-            true => asking.insert(kind),
-            false => asking.remove(&kind),
+    /// Sets whether a kind is being fetched from another entry host.
+    pub fn set_fetching(&self, kind: Kind, is_fetching: bool) {
+        let mut fetching = self.fetching.borrow_mut();
+        match is_fetching {
+            true => fetching.insert(kind),
+            false => fetching.remove(&kind),
         };
     }
 
@@ -292,72 +301,73 @@
         self.leaving_since_ms.get().is_some()
     }
 
-    /// Whether it has been leaving for so long that what comes now might not
-    /// end in time.
-    pub fn is_past_last_call(&self) -> bool {
-        self.is_killed_within(LAST_CALL_MS)
+    /// Whether it is leaving and new requests might not end in time.
+    pub fn refuses_new_requests(&self) -> bool {
+        self.exits_within(NO_NEW_REQUESTS_MS)
     }
 
-    /// Whether requests that wait for a target are to be refused, since the
-    /// process is about to end.
-    pub fn is_past_waiting(&self) -> bool {
-        self.is_killed_within(EXIT_MARGIN_MS + LAST_REFUSALS_MS)
+    /// Whether requests that wait for a target must be refused because the
+    /// process is about to exit.
+    pub fn refuses_waiting_requests(&self) -> bool {
+        self.exits_within(EXIT_MARGIN_MS + REFUSAL_MARGIN_MS)
     }
 
-    fn is_killed_within(&self, left_ms: u64) -> bool {
+    fn exits_within(&self, left_ms: u64) -> bool {
         let stays_ms = self.grace_ms.saturating_sub(left_ms);
         self.leaving_since_ms
             .get()
             .is_some_and(|since_ms| now_ms() > since_ms + stays_ms)
     }
 
-    /// Where a fleet's callers reach the entry host at `ip`: all of them
+    /// Returns the address at which callers reach the entry host at `ip`: all
     /// listen on the same port.
     pub fn callers_address(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.listen.callers.port())
     }
 
-    /// Leaves: takes no new callers, finishes what runs, and goes.
+    /// Shuts down: removes its entry, serves requests until none is in
+    /// progress or the grace period is nearly over, then closes callers'
+    /// connections.
     pub async fn leave(self: &Rc<Self>) {
         let start_ms = now_ms();
         self.leaving_since_ms.set(Some(start_ms));
         let running = self.in_progress.get();
         self.log(LogEvent::Stopping, &format!("in_progress={running}"));
         self.briefing_due.notify_one();
-        let taken = self.platform.delete_member(&self.node.name).await;
-        if let Err(failure) = taken {
-            log::debug!("own entry stays: {failure:?}");
+        let deleted = self.platform.delete_member(&self.node.name).await;
+        if let Err(failure) = deleted {
+            log::debug!("deleting the own entry: {failure:?}");
         }
         let end_ms = start_ms + self.grace_ms.saturating_sub(EXIT_MARGIN_MS);
-        self.until_quiet(start_ms, end_ms).await;
+        self.wait_until_idle(start_ms, end_ms).await;
         self.end_connections(end_ms).await;
         let running = self.in_progress.get();
         self.log(LogEvent::Stopped, &format!("in_progress={running}"));
     }
 
-    /// Waits until nothing is in progress, from `start_ms` to `end_ms` at
-    /// most.
-    async fn until_quiet(&self, start_ms: u64, end_ms: u64) {
-        let least_ms = LEAVE_LEAST_MS.min(self.grace_ms / 2);
+    /// Waits until no request is in progress and the minimum stay since
+    /// `start_ms` is over, but no later than `end_ms`.
+    async fn wait_until_idle(&self, start_ms: u64, end_ms: u64) {
+        let least_ms = MIN_LEAVE_MS.min(self.grace_ms / 2);
         loop {
-            tokio::time::sleep(LEAVE_LOOK).await;
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             let now = now_ms();
-            let is_quiet =
+            let is_idle =
                 self.in_progress.get() == 0 && now > start_ms + least_ms;
-            if is_quiet || now >= end_ms {
+            if is_idle || now >= end_ms {
                 return;
             }
         }
     }
 
-    /// Ends callers' connections, each once its last answer is written, and
+    /// Closes callers' connections, each once its last answer is written, and
     /// waits for them until `end_ms`.
     async fn end_connections(&self, end_ms: u64) {
-        self.ending.send_replace(true);
-        let left = Duration::from_millis(end_ms.saturating_sub(now_ms()));
-        let ended = self.ending.closed();
-        if tokio::time::timeout(left, ended).await.is_err() {
-            let open = self.ending.receiver_count();
+        self.closing.send_replace(true);
+        let remaining = Duration::from_millis(end_ms.saturating_sub(now_ms()));
+        let ended = self.closing.closed();
+        if tokio::time::timeout(remaining, ended).await.is_err() {
+            let open = self.closing.receiver_count();
             log::warn!("{open} callers' connections are still open");
         }
     }
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in their answers.
+//! Notices: what targets announce in their answers.
 
 use std::net::IpAddr;
 
@@ -15,19 +15,19 @@
 };
 
 impl<P: Dialect + Store + 'static> EntryHost<P> {
-    /// Takes in, and writes if it is news, what the answer to an attempt says
-    /// of its target. The other entry hosts hear now, and not with the next
-    /// heartbeat, that one takes less or leaves.
-    pub fn note_notice(&self, attempt: &Attempt<P>, notice: TargetNotice) {
+    /// Records the notice that an attempt's answer carries, and logs it if it
+    /// is new. Other entry hosts are informed at once, and not with the next
+    /// heartbeat, that a target takes less or leaves.
+    pub fn record_notice(&self, attempt: &Attempt<P>, notice: TargetNotice) {
         let Some(start) = attempt.start else { return };
         let mut gateway = self.gateway.borrow_mut();
         let notices = &mut gateway.targets.notices;
         let news = notices.note(now_ms(), start, attempt.sent_ms, notice);
         drop(gateway);
-        for one in news {
-            self.log_notice(&attempt.target, notice, one);
-            if matches!(one, NoticeNews::Lower | NoticeNews::Leaving) {
-                self.news_due.notify_one();
+        for change in news {
+            self.log_notice(&attempt.target, notice, change);
+            if matches!(change, NoticeNews::Lower | NoticeNews::Leaving) {
+                self.urgent_heartbeat_due.notify_one();
             }
         }
     }
@@ -38,7 +38,7 @@
         notice: TargetNotice,
         news: NoticeNews,
     ) {
-        let (event, word) = match news {
+        let (event, suffix) = match news {
             NoticeNews::Malformed => {
                 (LogEvent::NoticeMalformed, String::new())
             }
@@ -51,23 +51,23 @@
                 (LogEvent::TargetWaits, format!(" wait_ms={ms}"))
             }
         };
-        self.log(event, &format!("target={target}{word}"));
+        self.log(event, &format!("target={target}{suffix}"));
     }
 
-    /// Takes in what the entry host at `from` tells.
-    pub fn take_told_notices(&self, from: IpAddr, told: Vec<ToldNotice>) {
+    /// Handles the notices that the entry host at `from` reports.
+    pub fn handle_peer_notices(&self, from: IpAddr, reports: Vec<ToldNotice>) {
         let now = now_ms();
-        for one in told {
+        for report in reports {
             let mut gateway = self.gateway.borrow_mut();
-            let news = gateway.targets.notices.take_told(now, from, &one);
+            let news = gateway.targets.notices.take_told(now, from, &report);
             drop(gateway);
             let notice = TargetNotice {
-                limit_per_s: one.limit_per_s,
+                limit_per_s: report.limit_per_s,
                 ..TargetNotice::default()
             };
-            let start = format!("{:016x} from=entry host", one.start);
-            for one in news {
-                self.log_notice(&start, notice, one);
+            let start = format!("{:016x} from=entry host", report.start);
+            for change in news {
+                self.log_notice(&start, notice, change);
             }
         }
     }
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -1,4 +1,5 @@
-//! That the store was restored from an older copy, and what outlasts that.
+//! Detection of restores of the store from an older copy, and the state that
+//! survives them.
 
 use raildale_core::{
     LogEvent, Name,
@@ -13,89 +14,92 @@
     steady_clock::now_ms,
 };
 
-/// Objects that a log line names at most.
-const KEPT_NAMED: usize = 4;
+/// The maximum number of objects that a log line names.
+const MAX_LOGGED_NAMES: usize = 4;
 
 impl<P: Dialect + Store + 'static> EntryHost<P> {
-    /// Whether what is known of a kind is from before the store's last
-    /// restore.
+    /// Whether the copy of a kind dates from before the store's last restore.
     pub fn is_of_older_era(&self, kind: Kind) -> bool {
         Some(self.known.stamp(kind).era) < self.store_era.get()
     }
 
-    /// Notes the era of what was told of a kind. If the store was restored
-    /// since, every watch begins anew with a list.
-    pub fn note_era(&self, kind: Kind, told: Stamp) {
+    /// Records the era of an answer about a kind. If the store was restored
+    /// since the previous one, every watch starts again with a list.
+    pub fn record_era(&self, kind: Kind, answered: Stamp) {
         let before = self.store_era.get();
-        if Some(told.era) <= before {
+        if Some(answered.era) <= before {
             return;
         }
-        self.store_era.set(Some(told.era));
-        self.metrics.set("store_era", "", told.era);
+        self.store_era.set(Some(answered.era));
+        self.metrics.set("store_era", "", answered.era);
         let Some(before) = before else { return };
         let known = self.known.stamp(kind);
         let detail = format!(
-            "era={before}..{} kind={kind:?} revision={told} known={known}",
-            told.era
+            "era={before}..{} kind={kind:?} revision={answered} known={known}",
+            answered.era
         );
         self.metrics.add("store_restores_total", "", 1);
         self.log(LogEvent::StoreRestored, &detail);
-        self.store_back_ms.set(now_ms());
+        self.store_recovered_ms.set(now_ms());
         self.store_restored.notify_waiters();
     }
 
-    /// Writes which objects of a kind outlast a restore of the store, of
-    /// which a list has just been taken over.
-    pub(super) fn log_kept(&self, kind: Kind) {
+    /// Logs which objects of a kind survive a restore of the store, after a
+    /// list of the kind was applied.
+    pub(super) fn log_retained(&self, kind: Kind) {
         let Snapshot { stamp, objects } = self.known.snapshot(kind);
-        let kept = objects.iter().filter(|o| o.stamp.era < stamp.era);
-        let kept: Vec<&str> = kept.map(|object| &*object.name).collect();
-        if kept.is_empty() {
+        let retained = objects.iter().filter(|o| o.stamp.era < stamp.era);
+        let retained: Vec<&str> =
+            retained.map(|object| &*object.name).collect();
+        if retained.is_empty() {
             return;
         }
-        let names = kept[..kept.len().min(KEPT_NAMED)].join(",");
-        let count = kept.len();
+        let names = retained[..retained.len().min(MAX_LOGGED_NAMES)].join(",");
+        let count = retained.len();
         let detail =
             format!("kind={kind:?} revision={stamp} kept={count} {names}");
         self.log(LogEvent::StoreKept, &detail);
     }
 
-    /// Notes what the store tells of a kind, and writes it if that is older
-    /// than what is known, once for each stamp.
-    pub(super) fn note_told(&self, kind: Kind, told: Stamp) {
-        self.note_era(kind, told);
+    /// Records the stamp of an answer of the store. An answer that is older
+    /// than the local copy is logged, once for each stamp.
+    pub(super) fn check_answer_stamp(&self, kind: Kind, answered: Stamp) {
+        self.record_era(kind, answered);
         let known = self.known.stamp(kind);
-        if !self.known.is_known(kind) || told >= known {
+        if !self.known.is_known(kind) || answered >= known {
             return;
         }
         self.metrics.add("store_answers_older_total", "", 1);
-        if self.told_older.borrow_mut().insert(kind, told) != Some(told) {
+        if self.older_answers.borrow_mut().insert(kind, answered)
+            != Some(answered)
+        {
             let detail =
-                format!("kind={kind:?} revision={told} known={known}");
+                format!("kind={kind:?} revision={answered} known={known}");
             self.log(LogEvent::StoreOlder, &detail);
         }
     }
 
-    /// Takes in the entry under which a start is listed. Says whether it is a
-    /// copy from before it left the list.
+    /// Records the entry under which a start is listed. Returns whether the
+    /// entry is a copy from before the start left the list.
     pub(super) fn note_listed(&self, start: StartId, entry: Stamp) -> bool {
         let departed = &mut self.gateway.borrow_mut().targets.departed;
         departed.note_listed(start, entry)
     }
 
-    /// Starts of targets that have left the list, for another entry host.
+    /// Returns the starts of targets that have left the list, for another
+    /// entry host.
     pub fn departed(&self) -> Vec<ToldDeparture> {
         self.gateway.borrow().targets.departed.told(now_ms())
     }
 
-    /// Takes in which starts have left the list, as another entry host tells;
-    /// those whose entries are copies are targets no more.
-    pub fn take_departed(&self, told: Vec<ToldDeparture>) {
-        if told.is_empty() {
+    /// Handles the departed starts that another entry host reports, and
+    /// removes targets whose entries are copies from before a departure.
+    pub fn handle_peer_departures(&self, departures: Vec<ToldDeparture>) {
+        if departures.is_empty() {
             return;
         }
         let targets = &mut self.gateway.borrow_mut().targets;
-        targets.departed.take_told(now_ms(), told);
+        targets.departed.take_told(now_ms(), departures);
         let listed = targets.iter().map(|target| {
             (target.spec.id.clone(), target.start, target.spec.stamp)
         });
@@ -109,24 +113,25 @@
         }
     }
 
-    /// Forgets old departures; targets that are listed all the same are back.
+    /// Removes old departures, and adds the targets that are listed all the
+    /// same.
     pub(super) fn sweep_departed(&self) {
         let mut gateway = self.gateway.borrow_mut();
-        let back = gateway.targets.departed.sweep(now_ms());
+        let relisted = gateway.targets.departed.sweep(now_ms());
         drop(gateway);
-        if back.is_empty() {
+        if relisted.is_empty() {
             return;
         }
         for object in &self.known.snapshot(Kind::Targets).objects {
             let start = self.platform.target(object).map(|s| StartId::of(&s));
-            if start.is_ok_and(|start| back.contains(&start)) {
-                self.take_target(object);
+            if start.is_ok_and(|start| relisted.contains(&start)) {
+                self.apply_target(object);
             }
         }
     }
 
-    /// How far an object has come, for kinds whose objects never go back;
-    /// `None` for others, and for what does not decode.
+    /// Returns the progress of an object, for kinds whose objects never go
+    /// back; `None` for other kinds and for objects that do not decode.
     pub(super) fn progress(
         &self,
         kind: Kind,
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -1,4 +1,4 @@
-//! What is told and written of requests that end the targets that run them.
+//! Losses and records of requests that end the targets that run them.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -16,8 +16,8 @@
 };
 
 impl<P: Dialect + Store + 'static> EntryHost<P> {
-    /// Takes in and writes which starts of targets have ended.
-    pub fn note_ends(&self) {
+    /// Handles and logs the starts of targets that have ended.
+    pub fn handle_ended_targets(&self) {
         let ends = self.gateway.borrow_mut().take_ends(now_ms());
         if ends.is_empty() {
             return;
@@ -30,25 +30,25 @@
             self.metrics.add("targets_ended_total", "", 1);
             self.log(LogEvent::TargetEnded, &detail);
         }
-        self.note_suspects();
+        self.publish_quarantine_changes();
     }
 
-    /// Takes in what another entry host tells of suspects.
-    pub fn take_told_suspects(&self, told: Vec<ToldSuspect>) {
-        if told.is_empty() {
+    /// Handles the suspects that another entry host reports.
+    pub fn handle_peer_suspects(&self, suspects: Vec<ToldSuspect>) {
+        if suspects.is_empty() {
             return;
         }
         let mut gateway = self.gateway.borrow_mut();
-        gateway.quarantine.take_told(now_ms(), told);
+        gateway.quarantine.take_told(now_ms(), suspects);
         drop(gateway);
-        self.note_suspects();
+        self.publish_quarantine_changes();
     }
 
-    /// Writes who became a culprit or is none any more; others hear of a loss
-    /// now and not with the next heartbeat.
-    pub fn note_suspects(&self) {
+    /// Logs which requests became culprits or no longer are. Other entry hosts
+    /// are informed of a loss at once, and not with the next heartbeat.
+    pub fn publish_quarantine_changes(&self) {
         let mut gateway = self.gateway.borrow_mut();
-        let news = gateway.quarantine.take_news();
+        let changes = gateway.quarantine.take_news();
         let is_urgent = gateway.quarantine.take_urgent();
         let most_losses = gateway.quarantine.most_losses() as u64;
         let culprits = gateway.quarantine.culprit_count() as u64;
@@ -56,51 +56,55 @@
         self.metrics.set("suspect_losses_most", "", most_losses);
         self.metrics.set("quarantined_requests", "", culprits);
         if is_urgent {
-            self.news_due.notify_one();
+            self.urgent_heartbeat_due.notify_one();
         }
-        for one in news {
-            let event = match one.is_culprit {
+        for change in changes {
+            let event = match change.is_culprit {
                 true => LogEvent::RequestQuarantined,
                 false => LogEvent::QuarantineLifted,
             };
-            let detail =
-                format!("request={} losses={}", one.fingerprint, one.losses);
+            let detail = format!(
+                "request={} losses={}",
+                change.fingerprint, change.losses
+            );
             self.metrics.add("quarantine_changes_total", "", 1);
             self.log(event, &detail);
         }
     }
 
-    /// Takes in a record of the store.
-    pub(super) fn take_record(&self, object: &StoredObject) {
+    /// Applies a record from the store.
+    pub(super) fn apply_record(&self, object: &StoredObject) {
         let decoded = self.platform.quarantine_record(object);
         let unreadable = LogEvent::ObjectUnreadable;
-        let Some(record) = self.readable(object, decoded, unreadable) else {
+        let Some(record) = self.decode_or_log(object, decoded, unreadable)
+        else {
             return;
         };
         let mut gateway = self.gateway.borrow_mut();
         gateway.quarantine.take_record(now_ms(), unix_ms(), record);
         drop(gateway);
-        self.note_suspects();
+        self.publish_quarantine_changes();
     }
 
-    /// Takes in that a record is gone from the store: an operator took it
-    /// away, or an entry host whose request was answered.
-    pub(super) fn lift(&self, name: &str) {
+    /// Handles the deletion of a record from the store, by an operator or by
+    /// an entry host that answered the request.
+    pub(super) fn remove_record(&self, name: &str) {
         let Some(fingerprint) = Fingerprint::from_text(name) else { return };
         let mut gateway = self.gateway.borrow_mut();
         gateway.quarantine.lift(now_ms(), fingerprint);
         drop(gateway);
-        self.note_suspects();
+        self.publish_quarantine_changes();
     }
 
-    /// The records that the store is to hold.
+    /// Returns the records that the store should hold.
     pub fn quarantine_records(&self) -> Vec<Record> {
         let gateway = self.gateway.borrow();
         gateway.quarantine.records(now_ms(), unix_ms())
     }
 }
 
-/// The time of day, in Unix milliseconds: records outlast the process.
+/// Returns the time of day in Unix milliseconds, for records, which outlast
+/// the process.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
--- a/crates/raildale/src/fleet/entry/mod.rs
+++ b/crates/raildale/src/fleet/entry/mod.rs
@@ -1,24 +1,25 @@
-//! The shell of an entry host: I/O round [`raildale_core::gateway::Gateway`],
-//! [`raildale_core::members::Members`] and what is known of the store.
+//! The I/O layer of an entry host, around [`raildale_core::gateway::Gateway`],
+//! [`raildale_core::members::Members`] and the local copy of the store.
 //!
 //! * [`callers`]: the ports that callers use.
-//! * [`attempt`]: a request at one target.
-//! * [`hedge`]: a second attempt beside one whose target is silent.
-//! * `exchange_log`: what is written of a request.
-//! * [`refusals`]: answers of the entry host itself.
-//! * [`proxy`]: one request from its head to its answer.
-//! * [`stream_body`]: an answer that is a stream of events.
-//! * [`store_watch`]: the store's kinds, watched.
-//! * [`host`]: what the tasks share, and what the store's changes mean.
+//! * [`attempt`]: one attempt of a request at one target.
+//! * [`hedge`]: a second attempt at another target while the first is silent.
+//! * `exchange_log`: log lines about requests.
+//! * [`refusals`]: error answers that the entry host generates itself.
+//! * [`proxy`]: one request, from its head to its answer.
+//! * [`stream_body`]: answers that are event streams.
+//! * [`store_watch`]: watches of the store.
+//! * [`host`]: state shared by the tasks, and how changes of the store are
+//!   applied to it.
 //! * [`upstream`]: connections to targets.
-//! * [`peers`]: heartbeats and reports.
-//! * [`briefings`]: what agents are told.
-//! * [`culprits`]: records of requests that end their targets.
-//! * [`heads`]: how long heads of requests are and may be.
-//! * [`rest`]: how long callers' connections rest.
-//! * [`delays`]: how late the process runs.
-//! * [`digests`]: what the data centres of a large fleet tell one another.
-//! * [`snapshots`]: kinds handed from one entry host to another.
+//! * [`peers`]: heartbeats between entry hosts, and reports of agents.
+//! * [`briefings`]: messages to agents.
+//! * [`culprits`]: stored records of requests that end their targets.
+//! * [`heads`]: sizes of request heads.
+//! * [`idle`]: idle time-outs of callers' connections.
+//! * [`delays`]: scheduling delay of this process.
+//! * [`digests`]: messages between the data centres of a large fleet.
+//! * [`snapshots`]: transfer of whole kinds of object between entry hosts.
 
 pub mod attempt;
 pub mod briefings;
@@ -30,10 +31,10 @@
 pub mod heads;
 pub mod hedge;
 pub mod host;
+pub mod idle;
 pub mod peers;
 pub mod proxy;
 pub mod refusals;
-pub mod rest;
 pub mod snapshots;
 pub mod store_watch;
 pub mod stream_body;
@@ -54,12 +55,12 @@
 
 pub use self::host::EntryHost;
 
-/// Runs an entry host until it is told to stop and has finished.
+/// Runs an entry host until it receives the signal to stop and has shut down.
 ///
 /// # Errors
 ///
-/// [`crate::ErrorKind::Config`] if its settings lack what an entry host
-/// needs; [`crate::ErrorKind::Io`] if it cannot listen.
+/// [`crate::ErrorKind::Config`] if a setting that an entry host needs is
+/// missing; [`crate::ErrorKind::Io`] if it cannot listen.
 pub async fn run<P>(
     file: FleetFile,
     platform: P,
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -1,5 +1,5 @@
-//! Heartbeats to other entry hosts, datagrams to agents, and what comes back.
-//! What passes between the data centres of a large fleet is in
+//! Heartbeats and other datagrams between entry hosts, and between entry hosts
+//! and agents. Messages between the data centres of a large fleet are in
 //! [`super::digests`].
 
 use std::{
@@ -28,19 +28,20 @@
     },
 };
 
-/// Time between two heartbeats: three of them fit into the silence after
+/// The time between two heartbeats. Three of them fit into the silence after
 /// which an entry host counts as gone.
-pub(super) const HEARTBEAT: Duration = Duration::from_millis(400);
+pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time between two heartbeats after which the process, or its machine, stood
-/// still, in milliseconds: three heartbeats and a bit, as for the others.
-const STOOD_STILL_MS: u64 = 1_400;
+/// The time between two own heartbeats, in milliseconds, above which the
+/// process or its machine is taken to have been suspended: a little over three
+/// heartbeats, as for the other entry hosts.
+const STALL_MS: u64 = 1_400;
 
-/// Pause after news was told, so that one heartbeat tells more: a cut of power
-/// ends hundreds of targets within a fifth of a second.
-const NEWS_GATHER: Duration = Duration::from_millis(50);
+/// The pause after an urgent heartbeat, so that the next one carries several
+/// changes: a power cut ends hundreds of targets within a fifth of a second.
+const URGENT_HEARTBEAT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Starts sending and receiving.
+/// Starts the tasks that send and receive datagrams.
 ///
 /// # Errors
 ///
@@ -52,8 +53,8 @@
     let address = SocketAddr::new(host.node.ip, host.node.entry_port());
     let socket = Rc::new(UdpSocket::bind(address).await?);
     tokio::task::spawn_local(receive(host.clone(), socket.clone()));
-    tokio::task::spawn_local(send_regularly(host.clone(), socket.clone()));
-    tokio::task::spawn_local(send_news(host.clone(), socket));
+    tokio::task::spawn_local(run_heartbeats(host.clone(), socket.clone()));
+    tokio::task::spawn_local(send_urgent_heartbeats(host.clone(), socket));
     Ok(())
 }
 
@@ -65,41 +66,43 @@
     loop {
         match notes.next().await {
             (Note::Hello(hello), from) => {
-                if take_hello(&host, from.ip(), hello) {
+                if handle_hello(&host, from.ip(), hello) {
                     send(&socket, &hello_note(&host), from).await;
                 }
             }
-            (Note::Report(report), from) => take_report(&host, from, report),
+            (Note::Report(report), from) => handle_report(&host, from, report),
             (Note::AskBriefing(ask), from) => {
-                if let Some(note) = briefings::one(&host, from.ip(), &ask) {
+                if let Some(note) =
+                    briefings::for_agent(&host, from.ip(), &ask)
+                {
                     send(&socket, &note, from).await;
                 }
             }
             (Note::Digest(digest), from) => {
-                digests::take(&host, &socket, from.ip(), digest).await;
-                catch_up(&host);
+                digests::handle(&host, &socket, from.ip(), digest).await;
+                fetch_newer_kinds(&host);
             }
             (Note::Briefing(_), from) => {
-                log::debug!("a briefing from {from}, out of place");
+                log::debug!("unexpected briefing from {from}");
             }
         }
     }
 }
 
-/// Takes a heartbeat in; says whether its sender may know nothing yet, and
-/// is answered at once.
-fn take_hello<P>(host: &Rc<EntryHost<P>>, ip: IpAddr, hello: Hello) -> bool
+/// Handles a heartbeat. Returns whether its sender may know nothing yet, so
+/// that it is answered at once.
+fn handle_hello<P>(host: &Rc<EntryHost<P>>, ip: IpAddr, hello: Hello) -> bool
 where
     P: Dialect + Store + 'static,
 {
-    let is_new = note_hello(host, ip, hello);
-    catch_up(host);
+    let is_new = record_hello(host, ip, hello);
+    fetch_newer_kinds(host);
     is_new
 }
 
-/// Notes what a heartbeat tells; says whether its sender was not heard just
-/// before.
-pub(super) fn note_hello<P>(
+/// Records the content of a heartbeat. Returns whether its sender had not been
+/// heard recently.
+pub(super) fn record_hello<P>(
     host: &EntryHost<P>,
     ip: IpAddr,
     hello: Hello,
@@ -120,13 +123,13 @@
         sees_store: hello.sees_store,
         demand_per_s: f64::from(hello.demand_per_s),
     };
-    host.take_told_versions(hello.versions, hello.versions_heard_age_ms);
-    host.take_told_suspects(hello.suspects);
-    host.take_told_notices(ip, hello.notices);
+    host.handle_peer_versions(hello.versions, hello.versions_heard_age_ms);
+    host.handle_peer_suspects(hello.suspects);
+    host.handle_peer_notices(ip, hello.notices);
     host.members.borrow_mut().heard(now_ms(), entry, heartbeat)
 }
 
-fn take_report<P>(host: &EntryHost<P>, from: SocketAddr, report: Report)
+fn handle_report<P>(host: &EntryHost<P>, from: SocketAddr, report: Report)
 where
     P: Dialect + Store + 'static,
 {
@@ -134,11 +137,11 @@
     let now = now_ms();
     let report = report.target_report(now);
     host.gateway.borrow_mut().targets.note_report(now, address, report);
-    host.note_ends();
+    host.handle_ended_targets();
 }
 
-/// The address of the target that a report tells of; `None`, with a log line,
-/// if it does not decode.
+/// Returns the address of the target that a report is about; `None`, with a
+/// log line, if it does not parse.
 pub(super) fn target_address(
     report: &Report,
     from: IpAddr,
@@ -147,32 +150,33 @@
         .address
         .parse()
         .inspect_err(|error| {
-            log::warn!("report from {from}: its address: {error}")
+            log::warn!("report from {from}: invalid address: {error}")
         })
         .ok()
 }
 
-async fn send_regularly<P>(host: Rc<EntryHost<P>>, socket: Rc<UdpSocket>)
+async fn run_heartbeats<P>(host: Rc<EntryHost<P>>, socket: Rc<UdpSocket>)
 where
     P: Dialect + Store + 'static,
 {
     let mut beat = 0;
-    let mut beaten_ms = now_ms();
+    let mut last_beat_ms = now_ms();
     loop {
-        let still_ms = now_ms().saturating_sub(beaten_ms);
-        if still_ms > STOOD_STILL_MS {
-            host.note_stood_still(still_ms);
+        let still_ms = now_ms().saturating_sub(last_beat_ms);
+        if still_ms > STALL_MS {
+            host.on_stall(still_ms);
         }
-        beaten_ms = now_ms();
-        send_all(&host, &socket).await;
-        catch_up(&host);
+        last_beat_ms = now_ms();
+        send_heartbeats_and_briefings(&host, &socket).await;
+        fetch_newer_kinds(&host);
         host.sweep();
-        host.note_suspects();
-        culprits::keep_records(&host);
-        log_changes(&host);
+        host.publish_quarantine_changes();
+        culprits::reconcile_records(&host);
+        log_liveness_changes(&host);
         let due = host.briefing_due.notified();
-        // Woken early when there is something that others must know.
-        let is_early = tokio::time::timeout(HEARTBEAT, due).await.is_ok();
+        // Woken early when other processes must learn of a change.
+        let is_early =
+            tokio::time::timeout(HEARTBEAT_INTERVAL, due).await.is_ok();
         if !is_early {
             beat += 1;
             digests::send(&host, &socket, beat).await;
@@ -180,24 +184,26 @@
     }
 }
 
-/// Tells the entry hosts at once that requests have lost targets, or that
-/// targets take less: with the next heartbeat, each of seven would lose one to
-/// the same request first.
-async fn send_news<P>(host: Rc<EntryHost<P>>, socket: Rc<UdpSocket>)
-where
+/// Sends a heartbeat at once when requests have lost targets, or when targets
+/// take less. If this waited for the next regular heartbeat, each of seven
+/// entry hosts would first lose a target to the same request.
+async fn send_urgent_heartbeats<P>(
+    host: Rc<EntryHost<P>>,
+    socket: Rc<UdpSocket>,
+) where
     P: Dialect + Store + 'static,
 {
     loop {
-        host.news_due.notified().await;
+        host.urgent_heartbeat_due.notified().await;
         let hello = hello_note(&host);
         let recipients = heartbeat_recipients(&host);
         send_to_hosts(&host, &socket, &hello, recipients).await;
-        tokio::time::sleep(NEWS_GATHER).await;
+        tokio::time::sleep(URGENT_HEARTBEAT_PAUSE).await;
     }
 }
 
-/// One line for each entry host and agent that came up or went silent.
-fn log_changes<P>(host: &EntryHost<P>)
+/// Logs each entry host and agent that came up or went silent.
+fn log_liveness_changes<P>(host: &EntryHost<P>)
 where
     P: Dialect + Store + 'static,
 {
@@ -219,14 +225,16 @@
     }
 }
 
-async fn send_all<P>(host: &Rc<EntryHost<P>>, socket: &UdpSocket)
-where
+async fn send_heartbeats_and_briefings<P>(
+    host: &Rc<EntryHost<P>>,
+    socket: &UdpSocket,
+) where
     P: Dialect + Store + 'static,
 {
     let hello = hello_note(host);
     send_to_hosts(host, socket, &hello, heartbeat_recipients(host)).await;
     let port = host.node.agent_port();
-    for (ip, note) in briefings::all(host) {
+    for (ip, note) in briefings::for_all_agents(host) {
         send(socket, &note, SocketAddr::new(ip, port)).await;
     }
     let now = now_ms();
@@ -241,8 +249,8 @@
     gateway.targets.notices.set_time_of_day(now, unix_ms());
 }
 
-/// Who gets a heartbeat: neighbours, and the seeds in a small fleet or while
-/// nobody is heard.
+/// Returns the recipients of heartbeats: the neighbours, and also the seeds in
+/// a small fleet or while no entry host is heard.
 fn heartbeat_recipients<P>(host: &EntryHost<P>) -> Vec<IpAddr> {
     let members = host.members.borrow();
     let mut recipients: Vec<IpAddr> = members.neighbours().collect();
@@ -255,7 +263,7 @@
     recipients
 }
 
-/// Sends a datagram to entry hosts.
+/// Sends a datagram to the entry hosts at `recipients`.
 pub(super) async fn send_to_hosts<P>(
     host: &EntryHost<P>,
     socket: &UdpSocket,
@@ -274,7 +282,7 @@
     }
 }
 
-/// A heartbeat of this entry host, encoded.
+/// Returns an encoded heartbeat of this entry host.
 fn hello_note<P>(host: &EntryHost<P>) -> Vec<u8>
 where
     P: Dialect + Store + 'static,
@@ -282,7 +290,7 @@
     frames::encode_note(Note::Hello(hello(host)))
 }
 
-/// A heartbeat of this entry host.
+/// Returns a heartbeat of this entry host.
 pub(super) fn hello<P>(host: &EntryHost<P>) -> Hello
 where
     P: Dialect + Store + 'static,
@@ -296,7 +304,7 @@
         is_leaving: host.is_leaving(),
         is_ready: host.is_ready(),
         sees_store: host.sees_store(),
-        versions: told_versions(host),
+        versions: announced_versions(host),
         versions_heard_age_ms: versions_heard_ms
             .map(|heard_ms| now.saturating_sub(heard_ms)),
         demand_per_s: host.gateway.borrow().demand_per_s(now) as f32,
@@ -307,8 +315,8 @@
     hello.with_extents(&extents)
 }
 
-/// What a heartbeat tells of versions.
-fn told_versions<P>(host: &EntryHost<P>) -> Vec<ToldVersion>
+/// Returns the versions that a heartbeat announces.
+fn announced_versions<P>(host: &EntryHost<P>) -> Vec<ToldVersion>
 where
     P: Dialect + Store + 'static,
 {
@@ -324,21 +332,26 @@
         .collect()
 }
 
-/// Asks another entry host for what it knows and this one does not.
-fn catch_up<P>(host: &Rc<EntryHost<P>>)
+/// Fetches from other entry hosts the kinds of which they know more than this
+/// one.
+fn fetch_newer_kinds<P>(host: &Rc<EntryHost<P>>)
 where
     P: Dialect + Store + 'static,
 {
     for kind in Kind::ALL {
-        if host.is_asking(kind) || !host.may_ask_peers(kind) {
+        if host.is_fetching(kind) || !host.may_ask_peers(kind) {
             continue;
         }
         let own = host.known.extent(kind);
         let draw = rand::random_range(0..usize::from(u16::MAX));
         let ahead = host.members.borrow_mut().ahead(now_ms(), kind, own, draw);
         if let Some(ip) = ahead {
-            host.set_asking(kind, true);
-            tokio::task::spawn_local(snapshots::ask(host.clone(), ip, kind));
+            host.set_fetching(kind, true);
+            tokio::task::spawn_local(snapshots::fetch_and_apply(
+                host.clone(),
+                ip,
+                kind,
+            ));
         }
     }
 }
--- a/crates/raildale/src/fleet/entry/proxy.rs
+++ b/crates/raildale/src/fleet/entry/proxy.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its answer.
+//! Handles one request, from its head to its answer.
 
 use std::{pin::Pin, rc::Rc, time::Duration};
 
@@ -21,10 +21,10 @@
 use super::{
     EntryHost,
     attempt::{Attempt, Cause, Opened},
-    callers::{self, Progress},
+    callers::{self, RequestGuard},
     heads,
-    hedge::{Ended, Other, Watched},
-    refusals::{refusal_of, refuse, respond},
+    hedge::{HedgeOutcome, PendingAttempt, Takeover},
+    refusals::{host_refusal, refuse, respond},
     stream_body,
     upstream::{Connection, SendFailure},
 };
@@ -39,37 +39,37 @@
 /// The body of an answer to a caller.
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyFailure>>>;
 
-/// Why an answer's body is not whole.
+/// Why an answer's body is incomplete.
 #[derive(Clone, Copy, Debug, displaydoc::Display)]
 pub enum BodyFailure {
-    /// the target broke off and the stream could not go on elsewhere
+    /// the target's stream broke off and could not be resumed elsewhere
     Broken,
 }
 
 impl std::error::Error for BodyFailure {}
 
-/// Bytes of a target's answer at most, if it is no stream.
-const ANSWER_MOST_BYTES: usize = 8 << 20;
+/// The maximum size of a target's answer that is not a stream, in bytes.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// How long a request's body may take.
-const BODY_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// The time-out for reading a request's body.
+const REQUEST_BODY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Debug)]
 pub struct Exchange<P: Dialect + Store + 'static> {
-    /// What the tasks share.
+    /// The shared state of the entry host.
     pub host: Rc<EntryHost<P>>,
-    /// What was decided of it.
+    /// The gateway's state of the request.
     pub request: Admission,
-    /// What its head asks for.
+    /// The request's head.
     pub head: RequestHead,
-    /// What its tries have in common.
+    /// The fingerprint, which retries of the request share.
     pub fingerprint: Fingerprint,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
-    _progress: Progress<P>,
+    _progress: RequestGuard<P>,
 }
 
 impl<P: Dialect + Store + 'static> Drop for Exchange<P> {
@@ -79,11 +79,11 @@
     }
 }
 
-/// Answers a caller's request.
+/// Handles a caller's request and returns its answer.
 pub async fn answer<P>(
     host: Rc<EntryHost<P>>,
     request: Request<Incoming>,
-    progress: Progress<P>,
+    progress: RequestGuard<P>,
 ) -> Response<AnswerBody>
 where
     P: Dialect + Store + 'static,
@@ -91,21 +91,21 @@
     let (parts, body) = request.into_parts();
     let Some(head) = host.platform.request_head(&parts) else {
         let code = Code::Malformed;
-        return refuse(&host, "", refusal_of(code, None));
+        return refuse(&host, "", host_refusal(code, None));
     };
     if heads::head_bytes(&parts) > host.limits().max_header_bytes {
-        let refusal = refusal_of(Code::HeadTooLarge, None);
+        let refusal = host_refusal(Code::HeadTooLarge, None);
         return refuse(&host, &head.id, refusal);
     }
     let body = match read_body(&host, body).await {
         Ok(body) => body,
         Err(code) => {
-            let refusal = refusal_of(code, None);
+            let refusal = host_refusal(code, None);
             return refuse(&host, &head.id, refusal);
         }
     };
-    if host.is_past_last_call() {
-        let refusal = refusal_of(Code::HostLeaving, Some(0));
+    if host.refuses_new_requests() {
+        let refusal = host_refusal(Code::HostLeaving, Some(0));
         return refuse(&host, &head.id, refusal);
     }
     let draw = rand::random();
@@ -148,15 +148,15 @@
 where
     P: Dialect + Store + 'static,
 {
-    let most = host
+    let max_bytes = host
         .gateway
         .borrow()
         .routing()
         .map(|routing| routing.limits)
         .unwrap_or_default()
         .max_body_bytes;
-    let reading = request_body::read(body, most);
-    match tokio::time::timeout(BODY_TIMEOUT, reading).await {
+    let reading = request_body::read(body, max_bytes);
+    match tokio::time::timeout(REQUEST_BODY_TIMEOUT, reading).await {
         Ok(result) => result,
         Err(_) => Err(Code::BodyLate),
     }
@@ -164,7 +164,7 @@
 
 impl<P: Dialect + Store + 'static> Exchange<P> {
     async fn run(mut self) -> Response<AnswerBody> {
-        // A target's own failure, in case no other target does better.
+        // A server error of a target, returned if no other target does better.
         let mut failed = None;
         loop {
             let opened = match self.open(None).await {
@@ -177,7 +177,9 @@
             if opened.is_event_stream && status.is_success() {
                 return stream_body::answer(self, opened);
             }
-            let Some(response) = self.whole(opened).await else { continue };
+            let Some(response) = self.read_whole(opened).await else {
+                continue;
+            };
             if !status.is_server_error() || !self.request.may_ask_another() {
                 return response;
             }
@@ -185,37 +187,37 @@
         }
     }
 
-    /// Sends the request until a target answers with a head that counts.
+    /// Sends the request until a target answers with a valid head.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] once it is given up.
+    /// A [`Refusal`] once the request is given up.
     pub async fn open(
         &mut self,
         resume_after: Option<&str>,
     ) -> Result<Opened<P>, Refusal> {
         loop {
-            let dispatch = self.next().await?;
+            let dispatch = self.next_dispatch().await?;
             let sent = self.attempt(&dispatch, resume_after).await?;
             let Some(mut opened) = sent else { continue };
-            if opened.is_judged {
+            if opened.is_validated {
                 return Ok(opened);
             }
-            if let Some(outcome) = self.judge(&opened) {
+            if let Some(outcome) = self.head_rejection(&opened) {
                 if !self.end_rejected(opened, outcome) {
                     return Err(self.give_up(Code::Cut));
                 }
                 continue;
             }
-            opened.is_judged = true;
+            opened.is_validated = true;
             opened.is_event_stream =
                 self.request.route.kind == RouteKind::Streaming;
             return Ok(opened);
         }
     }
 
-    /// Waits until the request has a target to go to.
-    async fn next(&mut self) -> Result<Dispatch, Refusal> {
+    /// Waits until the request can be sent to a target.
+    async fn next_dispatch(&mut self) -> Result<Dispatch, Refusal> {
         let since_ms = now_ms();
         loop {
             let next = self.host.gateway.borrow_mut().next(
@@ -227,8 +229,8 @@
             match next {
                 Next::Send(dispatch) => return Ok(dispatch),
                 Next::Refuse(refusal) => return Err(refusal),
-                Next::Wait(_) if self.is_to_be_refused() => {
-                    return Err(self.refuse_leaving());
+                Next::Wait(_) if self.must_refuse_waiting() => {
+                    return Err(self.leaving_refusal());
                 }
                 Next::Wait(ms) => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
@@ -237,27 +239,27 @@
         }
     }
 
-    /// Whether its wait is over, since this process is about to end. A stream
-    /// that has begun has nothing to gain from a refusal.
-    fn is_to_be_refused(&self) -> bool {
+    /// Whether the wait for a target must end because this process is about to
+    /// exit. A stream that has begun gains nothing from a refusal.
+    fn must_refuse_waiting(&self) -> bool {
         let has_begun = self.request.last_event_ms.is_some();
-        self.host.is_past_waiting() && !has_begun
+        self.host.refuses_waiting_requests() && !has_begun
     }
 
-    /// The refusal of a request that waits while this process ends: it may be
-    /// sent elsewhere at once.
-    fn refuse_leaving(&self) -> Refusal {
+    /// Returns the refusal of a request that waits while this process shuts
+    /// down. The caller may send it elsewhere at once.
+    fn leaving_refusal(&self) -> Refusal {
         let mut refusal = self.give_up(Code::HostLeaving);
         refusal.retry_after_ms = refusal.retry_after_ms.map(|_| 0);
         refusal
     }
 
     /// Sends the request to one target and waits for the answer's head.
-    /// `None` if none came and the request may go elsewhere.
+    /// Returns `None` if none arrived and the request may go elsewhere.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if none came and the request must not be sent again.
+    /// A [`Refusal`] if none arrived and the request must not be sent again.
     async fn attempt(
         &mut self,
         dispatch: &Dispatch,
@@ -266,13 +268,14 @@
         let target = &dispatch.target;
         let mut attempt =
             Attempt::new(&self.host, &self.request, self.fingerprint, target);
-        let watched = Watched { target, has_begun: false, resume_after };
+        let pending =
+            PendingAttempt { target, has_begun: false, resume_after };
         let may_repeat = self.request.route.may_repeat();
         let pool = self.host.pool.clone();
         let mut failure = SendFailure::NotSent;
         let mut cause = Cause::Target;
-        let mut openings = pool.openings(dispatch.address, may_repeat);
-        while let Some(opened) = openings.next().await {
+        let mut connections = pool.connections(dispatch.address, may_repeat);
+        while let Some(opened) = connections.next().await {
             let mut connection = match opened {
                 Ok(connection) => connection,
                 Err(reason) => {
@@ -280,28 +283,28 @@
                     break;
                 }
             };
-            let request = self.to_target(dispatch, resume_after);
+            let request = self.target_request(dispatch, resume_after);
             let sending = async move {
                 let sent = connection.send(request).await;
                 (sent, connection)
             };
-            let is_good = self.head_check();
-            match self.hedge(watched, sending, is_good).await {
-                Ended::Own((Ok(response), connection)) => {
+            let is_good = self.ends_wait();
+            match self.hedge(pending, sending, is_good).await {
+                HedgeOutcome::Own((Ok(response), connection)) => {
                     let attempt = attempt.with_connection(connection);
                     return Ok(Some(Opened::new(response, attempt)));
                 }
-                Ended::Own((Err(SendFailure::NotSent), _)) => continue,
-                Ended::Own((Err(reason), _)) => {
+                HedgeOutcome::Own((Err(SendFailure::NotSent), _)) => continue,
+                HedgeOutcome::Own((Err(reason), _)) => {
                     failure = reason;
                     break;
                 }
-                Ended::Other(other) => {
-                    let Other { opened, silence, failed } = *other;
+                HedgeOutcome::Other(other) => {
+                    let Takeover { opened, silence, failed } = *other;
                     self.end_silent(attempt, dispatch, silence, failed);
                     return Ok(Some(opened));
                 }
-                Ended::Over(given_up) => {
+                HedgeOutcome::Over(given_up) => {
                     failure = SendFailure::Lost;
                     cause = given_up;
                     break;
@@ -309,7 +312,7 @@
             }
         }
         let outcome = outcome_of(failure);
-        self.host.pool.forget(dispatch.address);
+        self.host.pool.close_idle(dispatch.address);
         self.log_attempt(&attempt, outcome, 0, cause);
         match attempt.end(&mut self.request, outcome) {
             true => Ok(None),
@@ -317,32 +320,32 @@
         }
     }
 
-    /// Ends an attempt that brought no answer before another one did, or one
-    /// that does not count.
+    /// Ends an attempt that had no valid answer before another one did.
     fn end_silent(
         &mut self,
         mut attempt: Attempt<P>,
         dispatch: &Dispatch,
         silence: Silence,
-        failed: Option<Sent>,
+        failed: Option<SendResult>,
     ) {
         let (outcome, cause) = match failed {
             Some((Ok(response), connection)) => {
                 let attempt = attempt.with_connection(connection);
                 let opened = Opened::new(response, attempt);
-                let outcome = self.judge(&opened).unwrap_or(Outcome::Whole);
+                let outcome =
+                    self.head_rejection(&opened).unwrap_or(Outcome::Whole);
                 self.end_rejected(opened, outcome);
                 return;
             }
             Some((Err(failure), _)) => (outcome_of(failure), Cause::Target),
             None => (Outcome::Broken, Cause::Silence(silence)),
         };
-        self.host.pool.forget(dispatch.address);
+        self.host.pool.close_idle(dispatch.address);
         self.log_attempt(&attempt, outcome, 0, cause);
         attempt.end(&mut self.request, outcome);
     }
 
-    /// Ends an attempt whose answer is not passed on; says whether the
+    /// Ends an attempt whose answer is not passed on. Returns whether the
     /// request may be sent again.
     fn end_rejected(
         &mut self,
@@ -354,14 +357,14 @@
         opened.attempt.end(&mut self.request, outcome)
     }
 
-    /// Tells an answer that ends the wait for another one from one that does
-    /// not: it counts, and no other target could do better.
-    fn head_check(&self) -> impl Fn(&Sent) -> bool + use<P> {
+    /// Returns a check for answers that end the wait for a second attempt: the
+    /// head is valid, and no other target could do better.
+    fn ends_wait(&self) -> impl Fn(&SendResult) -> bool + use<P> {
         let host = self.host.clone();
         let id = self.head.id.clone();
         move |(sent, _)| {
             let Ok(response) = sent else { return false };
-            let (parts, ()) = head_of(response);
+            let (parts, ()) = response_head(response);
             let head = host.platform.answer_head(&parts, &id);
             let counts = head.is_own && head.is_sealed && !head.is_encoded;
             let has_run = !head.is_misdirected && !head.is_not_run;
@@ -369,7 +372,7 @@
         }
     }
 
-    fn to_target(
+    fn target_request(
         &self,
         dispatch: &Dispatch,
         resume_after: Option<&str>,
@@ -394,12 +397,13 @@
         request
     }
 
-    /// Whether a head does not count; then how the attempt ended.
-    fn judge(&self, opened: &Opened<P>) -> Option<Outcome> {
-        let (parts, ()) = head_of(&opened.response);
+    /// Returns the outcome of the attempt if its head is rejected; `None` if
+    /// it is valid.
+    fn head_rejection(&self, opened: &Opened<P>) -> Option<Outcome> {
+        let (parts, ()) = response_head(&opened.response);
         let head = self.host.platform.answer_head(&parts, &self.head.id);
         if head.is_own && !head.is_misdirected {
-            self.host.note_notice(&opened.attempt, head.notice);
+            self.host.record_notice(&opened.attempt, head.notice);
         }
         if !head.is_own || head.is_encoded {
             return Some(Outcome::Broken);
@@ -413,18 +417,18 @@
         (!head.is_sealed).then_some(Outcome::Broken)
     }
 
-    /// Reads an answer that is no stream; `None` if it broke off and the
-    /// request may go elsewhere.
-    async fn whole(
+    /// Reads an answer that is not a stream. Returns `None` if it broke off
+    /// and the request may go elsewhere.
+    async fn read_whole(
         &mut self,
         opened: Opened<P>,
     ) -> Option<Response<AnswerBody>> {
         let Opened { response, mut attempt, .. } = opened;
         let (parts, body) = response.into_parts();
-        let left_ms = self.request.due_ms.saturating_sub(now_ms()).max(1);
-        let reading = Limited::new(body, ANSWER_MOST_BYTES).collect();
-        let left = Duration::from_millis(left_ms);
-        let read = tokio::time::timeout(left, reading).await;
+        let remaining_ms = self.request.due_ms.saturating_sub(now_ms()).max(1);
+        let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
+        let remaining = Duration::from_millis(remaining_ms);
+        let read = tokio::time::timeout(remaining, reading).await;
         let body = match read {
             Ok(Ok(body)) => body.to_bytes(),
             ended => {
@@ -435,7 +439,7 @@
                 let status = parts.status.as_u16();
                 let outcome = Outcome::Broken;
                 self.log_attempt(&attempt, outcome, status, cause);
-                attempt.discard();
+                attempt.drop_connection();
                 if attempt.end(&mut self.request, Outcome::Broken) {
                     return None;
                 }
@@ -445,13 +449,13 @@
         };
         attempt.note_begun(&mut self.request);
         match parts.status.is_success() {
-            true => attempt.end_well(&mut self.request),
-            // Its target lives, but has not done what it was asked.
+            true => attempt.end_with_success(&mut self.request),
+            // The target is alive, but did not do what was asked.
             false => {
                 attempt.end(&mut self.request, Outcome::Whole);
             }
         }
-        let mut response = Response::new(callers::whole(body));
+        let mut response = Response::new(callers::full_body(body));
         *response.status_mut() = parts.status;
         *response.headers_mut() =
             self.host.platform.caller_headers(&parts.headers);
@@ -459,7 +463,7 @@
         Some(response)
     }
 
-    /// The final answer for a request that goes nowhere any more.
+    /// Returns the refusal that ends the request.
     pub fn give_up(&self, code: Code) -> Refusal {
         self.host.gateway.borrow().give_up(&self.request, code)
     }
@@ -485,19 +489,19 @@
     }
 }
 
-/// How an attempt ended that brought no head.
+/// Returns the outcome of an attempt without an answer head.
 fn outcome_of(failure: SendFailure) -> Outcome {
     match failure {
         SendFailure::NotSent => Outcome::Unreachable,
-        SendFailure::NobodyThere => Outcome::NobodyThere,
+        SendFailure::ConnectionRefused => Outcome::NobodyThere,
         SendFailure::Lost => Outcome::Broken,
     }
 }
 
-/// What sending a request brought, and the connection that it used.
-type Sent = (Result<Response<Incoming>, SendFailure>, Connection);
+/// The result of sending a request, and the connection that was used.
+type SendResult = (Result<Response<Incoming>, SendFailure>, Connection);
 
-fn head_of(
+fn response_head(
     response: &Response<Incoming>,
 ) -> (hyper::http::response::Parts, ()) {
     let mut head = Response::new(());
--- a/crates/raildale/src/fleet/entry/refusals.rs
+++ b/crates/raildale/src/fleet/entry/refusals.rs
@@ -1,4 +1,4 @@
-//! Answers of the entry host itself.
+//! Error answers that the entry host generates itself.
 
 use bytes::Bytes;
 use hyper::{Response, StatusCode};
@@ -10,12 +10,12 @@
 use super::{EntryHost, callers, proxy::AnswerBody};
 use crate::fleet::edge::{Dialect, Store};
 
-/// A refusal of the entry host itself.
-pub fn refusal_of(code: Code, retry_after_ms: Option<u64>) -> Refusal {
+/// Returns a refusal whose cause is the entry host itself.
+pub fn host_refusal(code: Code, retry_after_ms: Option<u64>) -> Refusal {
     Refusal { code, obstacle: Obstacle::Host, retry_after_ms }
 }
 
-/// Answers a request that was not let in.
+/// Logs and answers a request that was not admitted.
 pub fn refuse<P>(
     host: &EntryHost<P>,
     id: &str,
@@ -29,7 +29,7 @@
     respond(host, id, refusal)
 }
 
-/// Answers with a refusal.
+/// Returns the answer for a refusal, and counts it.
 pub fn respond<P>(
     host: &EntryHost<P>,
     id: &str,
@@ -41,7 +41,7 @@
     let number = refusal.code.number().to_string();
     host.metrics.add("refused_total", &format!("code=\"{number}\""), 1);
     let text = Bytes::from(refusal.code.to_string());
-    let mut response = Response::new(callers::whole(text));
+    let mut response = Response::new(callers::full_body(text));
     *response.status_mut() = StatusCode::from_u16(refusal.code.http_status())
         .unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     *response.headers_mut() =
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -1,9 +1,9 @@
-//! Kinds of object handed from one entry host to another.
+//! Transfer of whole kinds of object between entry hosts.
 //!
-//! Most entry hosts do not watch the store and hear of changes this way, and
-//! so does one that the store turns away.
+//! Most entry hosts do not watch the store and receive changes this way, as do
+//! those whose calls the store rejects.
 //!
-//! * `packed`: snapshots as they travel.
+//! * `packed`: the compressed form of snapshots.
 
 mod packed;
 
@@ -38,22 +38,23 @@
 
 pub use self::packed::PackedSnapshots;
 
-/// How long a question may take at first. Each one that takes longer doubles
-/// that for the next: after a loss of all, hundreds ask the same few for a list
-/// of thousands of targets.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
+/// The initial time-out of a fetch. Each fetch that times out doubles it for
+/// the next one: after a loss of all, hundreds ask the same few for a list of
+/// thousands of targets.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Doublings of that at most: 6.4 s.
-const ASK_DOUBLINGS_MOST: u32 = 3;
+/// The maximum number of doublings, up to 6.4 s.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
 
-/// Answers that leave at once: more would share the link and all come late.
-const ANSWERS_AT_ONCE: usize = 6;
+/// The maximum number of concurrent answers. More would share the link and all
+/// arrive late.
+const MAX_CONCURRENT_ANSWERS: usize = 6;
 
-/// Starts answering.
+/// Starts to answer requests for snapshots.
 ///
 /// # Errors
 ///
-/// [`crate::ErrorKind::Io`] if the port is taken.
+/// [`crate::ErrorKind::Io`] if the port is applied.
 pub async fn start<P>(host: &Rc<EntryHost<P>>) -> Result<(), Error>
 where
     P: Dialect + Store + 'static,
@@ -61,11 +62,11 @@
     let address = SocketAddr::new(host.node.ip, host.node.entry_port());
     let listener = TcpListener::bind(address).await?;
     let host = host.clone();
-    let turns = Rc::new(Semaphore::new(ANSWERS_AT_ONCE));
+    let permits = Rc::new(Semaphore::new(MAX_CONCURRENT_ANSWERS));
     tokio::task::spawn_local(async move {
         loop {
             let (stream, from) = frames::accept(&listener).await;
-            let answer = answer(host.clone(), stream, from, turns.clone());
+            let answer = answer(host.clone(), stream, from, permits.clone());
             tokio::task::spawn_local(answer);
         }
     });
@@ -76,18 +77,18 @@
     host: Rc<EntryHost<P>>,
     stream: TcpStream,
     from: SocketAddr,
-    turns: Rc<Semaphore>,
+    permits: Rc<Semaphore>,
 ) where
     P: Dialect + Store + 'static,
 {
     // The semaphore is never closed.
-    let Ok(_turn) = turns.acquire().await else { return };
+    let Ok(_turn) = permits.acquire().await else { return };
     if let Err(error) = try_answer(&host, stream).await {
         log::debug!("snapshot for {from}: {error}");
     }
 }
 
-/// Answers the one question of a connection.
+/// Answers the only request of a connection.
 async fn try_answer<P>(
     host: &EntryHost<P>,
     mut stream: TcpStream,
@@ -98,17 +99,20 @@
     let mut framed = Framed::new(&mut stream, codec::splitter());
     let kind = match next_body(&mut framed).await? {
         FleetBody::AskSnapshot(ask) => Kind::from_number(ask.kind)
-            .ok_or(Error::new(ErrorKind::Frame, "no such kind"))?,
-        _ => return Err(Error::new(ErrorKind::Frame, "out of place")),
+            .ok_or(Error::new(ErrorKind::Frame, "unknown kind of object"))?,
+        _ => return Err(Error::new(ErrorKind::Frame, "unexpected message")),
     };
-    let give = give(host, kind)?;
-    let frame = frames::encode_frame(FleetBody::GiveSnapshot(give));
+    let reply = snapshot_reply(host, kind)?;
+    let frame = frames::encode_frame(FleetBody::GiveSnapshot(reply));
     stream.write_all(&frame).await?;
     Ok(())
 }
 
-/// What is known of a kind, for another entry host.
-fn give<P>(host: &EntryHost<P>, kind: Kind) -> Result<GiveSnapshot, Error>
+/// Returns what is known of a kind, for another entry host.
+fn snapshot_reply<P>(
+    host: &EntryHost<P>,
+    kind: Kind,
+) -> Result<GiveSnapshot, Error>
 where
     P: Dialect + Store + 'static,
 {
@@ -136,7 +140,7 @@
     })
 }
 
-/// The next frame of a connection.
+/// Reads the next frame of a connection.
 async fn next_body<S>(
     framed: &mut Framed<S, LengthDelimitedCodec>,
 ) -> Result<FleetBody, Error>
@@ -150,48 +154,49 @@
     frames::decode_frame(frame.freeze())
 }
 
-/// Asks an entry host for a kind and takes it over.
-pub async fn ask<P>(host: Rc<EntryHost<P>>, ip: IpAddr, kind: Kind)
+/// Fetches a kind from the entry host at `ip` and applies it. Failures are
+/// logged.
+pub async fn fetch_and_apply<P>(host: Rc<EntryHost<P>>, ip: IpAddr, kind: Kind)
 where
     P: Dialect + Store + 'static,
 {
-    let asking = fetch(SocketAddr::new(ip, host.node.entry_port()), kind);
-    let doublings = host.late_answers.get().min(ASK_DOUBLINGS_MOST);
-    let patience = ASK_TIMEOUT * (1 << doublings);
-    let asked = tokio::time::timeout(patience, asking).await;
-    host.set_asking(kind, false);
-    let late_answers = if asked.is_ok() { 0 } else { doublings + 1 };
-    host.late_answers.set(late_answers);
-    let taken = match asked {
-        Ok(Ok(give)) => take(&host, ip, kind, give),
+    let fetching = fetch(SocketAddr::new(ip, host.node.entry_port()), kind);
+    let doublings = host.fetch_timeouts.get().min(MAX_TIMEOUT_DOUBLINGS);
+    let timeout = FETCH_TIMEOUT * (1 << doublings);
+    let result = tokio::time::timeout(timeout, fetching).await;
+    host.set_fetching(kind, false);
+    let fetch_timeouts = if result.is_ok() { 0 } else { doublings + 1 };
+    host.fetch_timeouts.set(fetch_timeouts);
+    let applied = match result {
+        Ok(Ok(reply)) => apply(&host, ip, kind, reply),
         Ok(Err(error)) => Err(error),
-        Err(_) => Err(Error::new(ErrorKind::Io, "late")),
+        Err(_) => Err(Error::new(ErrorKind::Io, "timed out")),
     };
-    if let Err(error) = taken {
+    if let Err(error) = applied {
         log::info!("{kind:?} from {ip}: {error}");
     }
 }
 
-fn take<P>(
+fn apply<P>(
     host: &EntryHost<P>,
     ip: IpAddr,
     kind: Kind,
-    give: GiveSnapshot,
+    reply: GiveSnapshot,
 ) -> Result<(), Error>
 where
     P: Dialect + Store + 'static,
 {
-    let stamp = Stamp::new(give.era, give.revision);
-    let snapshot = packed::unpack(stamp, &give.packed)?;
+    let stamp = Stamp::new(reply.era, reply.revision);
+    let snapshot = packed::unpack(stamp, &reply.packed)?;
     let detail = format!("kind={kind:?} revision={stamp} from={ip}");
     host.log(LogEvent::SnapshotTaken, &detail);
-    let lapsed = give.lapsed.into_iter().map(Name::from).collect();
-    let told = Extent {
-        changed: Stamp::new(give.changed_era, give.changed_revision),
-        oldest_era: give.oldest_era.unwrap_or(give.era),
+    let lapsed = reply.lapsed.into_iter().map(Name::from).collect();
+    let extent = Extent {
+        changed: Stamp::new(reply.changed_era, reply.changed_revision),
+        oldest_era: reply.oldest_era.unwrap_or(reply.era),
     };
-    host.take_departed(give.departed);
-    host.replace_from_peer(kind, snapshot, told, lapsed);
+    host.handle_peer_departures(reply.departed);
+    host.replace_from_peer(kind, snapshot, extent, lapsed);
     Ok(())
 }
 
@@ -201,7 +206,7 @@
     let ask = FleetBody::AskSnapshot(AskSnapshot { kind: kind.number() });
     framed.send(frames::encode_body(ask)).await?;
     match next_body(&mut framed).await? {
-        FleetBody::GiveSnapshot(give) => Ok(give),
-        _ => Err(Error::new(ErrorKind::Frame, "out of place")),
+        FleetBody::GiveSnapshot(reply) => Ok(reply),
+        _ => Err(Error::new(ErrorKind::Frame, "unexpected message")),
     }
 }
--- a/crates/raildale/src/fleet/entry/snapshots/packed.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/packed.rs
@@ -1,4 +1,4 @@
-//! Snapshots as they travel: encoded and deflated.
+//! The compressed form of snapshots: encoded and deflated.
 //!
 //! A configuration of 1,600 routes is some hundred kilobytes of repetitive
 //! text, and the links of entry hosts carry callers' answers as well.
@@ -19,23 +19,25 @@
 
 use crate::error::{Error, ErrorKind};
 
-/// Bytes of a kind's objects at most: pages of a megabyte, four of them.
-const MOST_UNPACKED_BYTES: u64 = 4 << 20;
+/// The maximum size of a kind's unpacked objects, in bytes: four pages of a
+/// megabyte.
+const MAX_UNPACKED_BYTES: u64 = 4 << 20;
 
-/// The last snapshot of each kind, packed: many ask for the same.
+/// The last packed snapshot of each kind, cached because many entry hosts ask
+/// for the same.
 #[derive(Debug, Default)]
 pub struct PackedSnapshots {
     by_kind: BTreeMap<Kind, (Stamp, Bytes)>,
 }
 
 impl PackedSnapshots {
-    /// Forgets the snapshot of a kind, of which something has changed.
+    /// Removes the snapshot of a kind that has changed.
     pub fn forget(&mut self, kind: Kind) {
         self.by_kind.remove(&kind);
     }
 
-    /// The objects of a snapshot, packed; what was packed at the same
-    /// stamp is used again.
+    /// Returns the packed objects of a snapshot; a cached result for the same
+    /// stamp is reused.
     ///
     /// # Errors
     ///
@@ -57,12 +59,12 @@
     }
 }
 
-/// The snapshot that holds packed objects.
+/// Returns the snapshot with the given stamp and packed objects.
 ///
 /// # Errors
 ///
 /// [`ErrorKind::Io`] if they cannot be inflated, [`ErrorKind::Frame`] if they
-/// are no list of objects.
+/// are too large or not a list of objects.
 pub(super) fn unpack(stamp: Stamp, packed: &[u8]) -> Result<Snapshot, Error> {
     let list = ObjectList::decode(inflate(packed)?)
         .map_err(|error| Error::new(ErrorKind::Frame, error.to_string()))?;
@@ -93,9 +95,10 @@
 fn inflate(packed: &[u8]) -> Result<Bytes, Error> {
     let mut bytes = Vec::new();
     let decoder = DeflateDecoder::new(packed);
-    decoder.take(MOST_UNPACKED_BYTES + 1).read_to_end(&mut bytes)?;
-    // A list that was cut between two objects would pass for a shorter one.
-    if bytes.len() as u64 > MOST_UNPACKED_BYTES {
+    decoder.take(MAX_UNPACKED_BYTES + 1).read_to_end(&mut bytes)?;
+    // A list that was cut off between two objects would pass for a shorter
+    // one.
+    if bytes.len() as u64 > MAX_UNPACKED_BYTES {
         return Err(Error::new(ErrorKind::Frame, "too many objects"));
     }
     Ok(Bytes::from(bytes))
--- a/crates/raildale/src/fleet/entry/stream_body.rs
+++ b/crates/raildale/src/fleet/entry/stream_body.rs
@@ -1,7 +1,7 @@
-//! An answer that is a stream of events.
+//! Answers that are event streams.
 //!
-//! Events are passed on whole, as they come. A stream that breaks off goes
-//! on at another target after the last event that left here.
+//! Only whole events are passed on, as they arrive. A stream that breaks off
+//! is resumed at another target after the last event that was passed on.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -17,7 +17,7 @@
 
 use super::{
     attempt::{Attempt, Cause, Opened},
-    hedge::{Ended, Other, Watched},
+    hedge::{HedgeOutcome, PendingAttempt, Takeover},
     proxy::{AnswerBody, BodyFailure, Exchange},
 };
 use crate::fleet::{
@@ -25,7 +25,7 @@
     steady_clock::now_ms,
 };
 
-/// The answer to a request whose first attempt has opened a stream.
+/// Returns the answer to a request whose first attempt has opened a stream.
 pub fn answer<P>(
     exchange: Exchange<P>,
     opened: Opened<P>,
@@ -36,18 +36,18 @@
     let status = opened.response.status();
     let headers =
         exchange.host.platform.caller_headers(opened.response.headers());
-    let relay = Relay {
+    let stream_state = ResumableStream {
         exchange,
         body: opened.response.into_body(),
         attempt: opened.attempt,
-        begun: opened.begun.freeze(),
+        buffered: opened.buffered.freeze(),
         splitter: EventSplitter::new(),
-        pace: Pace::default(),
+        event_times: EventTimes::default(),
         is_over: false,
     };
-    let frames = stream::unfold(relay, |mut relay| async move {
-        let next = relay.next().await?;
-        Some((next.map(Frame::data), relay))
+    let frames = stream::unfold(stream_state, |mut stream_state| async move {
+        let next = stream_state.next().await?;
+        Some((next.map(Frame::data), stream_state))
     });
     let body: AnswerBody = Box::pin(StreamBody::new(frames));
     let mut response = Response::new(body);
@@ -56,26 +56,26 @@
     response
 }
 
-struct Relay<P: Dialect + Store + 'static> {
+struct ResumableStream<P: Dialect + Store + 'static> {
     exchange: Exchange<P>,
     body: Incoming,
     attempt: Attempt<P>,
-    /// What was read of the body before it was passed on.
-    begun: Bytes,
+    /// The part of the body that was read and not yet passed on.
+    buffered: Bytes,
     splitter: EventSplitter,
-    pace: Pace,
+    event_times: EventTimes,
     is_over: bool,
 }
 
-/// When events left, for the log.
+/// When events were passed on, for the log.
 #[derive(Debug, Default)]
-struct Pace {
+struct EventTimes {
     first_ms: Option<u64>,
     last_ms: u64,
     longest_pause_ms: u64,
 }
 
-impl Pace {
+impl EventTimes {
     fn note(&mut self, now_ms: u64) {
         if self.first_ms.is_some() {
             let pause_ms = now_ms.saturating_sub(self.last_ms);
@@ -86,36 +86,36 @@
     }
 }
 
-/// What a target's stream brought.
-enum Piece {
+/// Input from a target's stream.
+enum StreamInput {
     Data(Bytes),
     End,
     Broken(Cause),
 }
 
-impl<P: Dialect + Store + 'static> Relay<P> {
+impl<P: Dialect + Store + 'static> ResumableStream<P> {
     async fn next(&mut self) -> Option<Result<Bytes, BodyFailure>> {
         if self.is_over {
             return None;
         }
         loop {
-            match self.piece().await {
-                Piece::Data(data) => {
+            match self.next_input().await {
+                StreamInput::Data(data) => {
                     if let Some(whole) = self.splitter.push(data) {
                         let request = &mut self.exchange.request;
                         self.attempt.note_begun(request);
-                        self.pace.note(now_ms());
+                        self.event_times.note(now_ms());
                         return Some(Ok(whole));
                     }
                 }
-                Piece::End if self.splitter.is_torn() => {
-                    if let Some(failure) = self.go_on(Cause::Target).await {
+                StreamInput::End if self.splitter.is_torn() => {
+                    if let Some(failure) = self.resume(Cause::Target).await {
                         return Some(Err(failure));
                     }
                 }
-                Piece::End => return self.end(),
-                Piece::Broken(cause) => {
-                    if let Some(failure) = self.go_on(cause).await {
+                StreamInput::End => return self.end(),
+                StreamInput::Broken(cause) => {
+                    if let Some(failure) = self.resume(cause).await {
                         return Some(Err(failure));
                     }
                 }
@@ -126,33 +126,33 @@
     fn end(&mut self) -> Option<Result<Bytes, BodyFailure>> {
         self.is_over = true;
         let request = &mut self.exchange.request;
-        self.attempt.end_well(request);
+        self.attempt.end_with_success(request);
         let target = self.attempt.target.clone();
         let first_ms = self
-            .pace
+            .event_times
             .first_ms
-            .unwrap_or(self.pace.last_ms)
+            .unwrap_or(self.event_times.last_ms)
             .saturating_sub(self.exchange.request.arrived_ms);
-        let pace = format!(
+        let event_times = format!(
             "first_ms={first_ms} longest_pause_ms={}",
-            self.pace.longest_pause_ms
+            self.event_times.longest_pause_ms
         );
         self.exchange.host.metrics.record("first_event_ms", "", first_ms);
-        self.exchange.log_done(&target, hyper::StatusCode::OK, &pace);
+        self.exchange.log_done(&target, hyper::StatusCode::OK, &event_times);
         None
     }
 
-    /// The next bytes of the target's stream, or of another's that has taken
-    /// it up.
-    async fn piece(&mut self) -> Piece {
-        let has_event = self.pace.first_ms.is_some();
+    /// Returns the next bytes of the target's stream, or of another target's
+    /// that replaces it.
+    async fn next_input(&mut self) -> StreamInput {
+        let has_event = self.event_times.first_ms.is_some();
         self.exchange.request.last_event_ms =
-            has_event.then_some(self.pace.last_ms);
+            has_event.then_some(self.event_times.last_ms);
         loop {
-            if !self.begun.is_empty() {
-                return Piece::Data(std::mem::take(&mut self.begun));
+            if !self.buffered.is_empty() {
+                return StreamInput::Data(std::mem::take(&mut self.buffered));
             }
-            let watched = Watched {
+            let pending = PendingAttempt {
                 target: &self.attempt.target,
                 has_begun: true,
                 resume_after: self.splitter.last_id(),
@@ -163,50 +163,56 @@
                 None => !is_torn,
             };
             let frame = self.body.frame();
-            match self.exchange.hedge(watched, frame, is_good).await {
-                Ended::Own(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(data) => return Piece::Data(data),
-                    Err(_trailers) => continue,
-                },
-                Ended::Own(Some(Err(_))) => {
-                    return Piece::Broken(Cause::Target);
+            match self.exchange.hedge(pending, frame, is_good).await {
+                HedgeOutcome::Own(Some(Ok(frame))) => {
+                    match frame.into_data() {
+                        Ok(data) => return StreamInput::Data(data),
+                        Err(_trailers) => continue,
+                    }
+                }
+                HedgeOutcome::Own(Some(Err(_))) => {
+                    return StreamInput::Broken(Cause::Target);
                 }
-                Ended::Own(None) => return Piece::End,
-                Ended::Other(other) => {
-                    let Other { opened, silence, failed } = *other;
+                HedgeOutcome::Own(None) => return StreamInput::End,
+                HedgeOutcome::Other(other) => {
+                    let Takeover { opened, silence, failed } = *other;
                     let cause = match failed {
                         Some(_) => Cause::Target,
                         None => Cause::Silence(silence),
                     };
-                    self.switch(opened, cause);
+                    self.switch_to(opened, cause);
+                }
+                HedgeOutcome::Over(cause) => {
+                    return StreamInput::Broken(cause);
                 }
-                Ended::Over(cause) => return Piece::Broken(cause),
             }
         }
     }
 
-    /// Goes on with another target's stream.
-    fn switch(&mut self, opened: Opened<P>, cause: Cause) {
+    /// Replaces the stream by that of a hedged attempt, and ends the current
+    /// one.
+    fn switch_to(&mut self, opened: Opened<P>, cause: Cause) {
         let from = self.attempt.target.clone();
         let outcome = Outcome::Broken;
         self.exchange.log_attempt(&self.attempt, outcome, 200, cause);
-        self.attempt.discard();
+        self.attempt.drop_connection();
         self.attempt.end(&mut self.exchange.request, outcome);
-        self.take_up(&from, opened);
+        self.continue_with(&from, opened);
     }
 
-    fn take_up(&mut self, from: &str, opened: Opened<P>) {
+    fn continue_with(&mut self, from: &str, opened: Opened<P>) {
         self.splitter.drop_torn();
         self.body = opened.response.into_body();
         self.attempt = opened.attempt;
-        self.begun = opened.begun.freeze();
+        self.buffered = opened.buffered.freeze();
         self.log_resumed(from, self.splitter.last_id());
     }
 
-    /// Takes the stream up at another target; a failure ends it visibly.
-    async fn go_on(&mut self, cause: Cause) -> Option<BodyFailure> {
+    /// Resumes the stream at another target. Returns the failure to end the
+    /// body with if that is not possible.
+    async fn resume(&mut self, cause: Cause) -> Option<BodyFailure> {
         let request = &mut self.exchange.request;
-        self.attempt.discard();
+        self.attempt.drop_connection();
         let may_repeat = self.attempt.end(request, Outcome::Broken);
         let target = self.attempt.target.clone();
         let outcome = Outcome::Broken;
@@ -217,7 +223,7 @@
             let resumed = self.exchange.open(last_id.as_deref()).await;
             match resumed {
                 Ok(opened) if opened.response.status().is_success() => {
-                    self.take_up(&target, opened);
+                    self.continue_with(&target, opened);
                     return None;
                 }
                 Ok(_) => {}
@@ -252,7 +258,7 @@
     }
 }
 
-impl<P: Dialect + Store + 'static> Drop for Relay<P> {
+impl<P: Dialect + Store + 'static> Drop for ResumableStream<P> {
     fn drop(&mut self) {
         if !self.is_over {
             let detail = format!(
--- a/crates/raildale/src/fleet/entry/upstream.rs
+++ b/crates/raildale/src/fleet/entry/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to targets, kept between requests.
+//! Connections to targets, kept alive between requests.
 
 use std::{cell::RefCell, collections::HashMap, io, net::SocketAddr, rc::Rc};
 
@@ -14,28 +14,29 @@
 
 use crate::fleet::{frames, steady_clock::now_ms};
 
-/// Milliseconds that a kept connection may rest at most: targets close idle
-/// ones after a while, and what is sent into the closing is lost.
-const IDLE_MOST_MS: u64 = 2_500;
+/// The maximum idle time of a kept connection, in milliseconds. Targets close
+/// idle connections after a while, and a request sent on a connection that is
+/// being closed is lost.
+const MAX_IDLE_MS: u64 = 2_500;
 
 /// The same for requests that must not be repeated.
-const IDLE_MOST_ONCE_MS: u64 = 700;
+const MAX_IDLE_NON_REPEATABLE_MS: u64 = 700;
 
-/// Kept connections to one target at most.
-const KEPT_MOST: usize = 24;
+/// The maximum number of kept connections to one target.
+const MAX_IDLE_CONNECTIONS: usize = 24;
 
 /// Why no answer came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
     /// Nothing was sent.
     NotSent,
-    /// Nothing was sent: nobody listens at the address.
-    NobodyThere,
-    /// Something was sent and no whole head came.
+    /// Nothing was sent: the connection was refused.
+    ConnectionRefused,
+    /// Something was sent, and no complete answer head arrived.
     Lost,
 }
 
-/// A connection to a target; dropping it ends it.
+/// A connection to a target; it is closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -44,7 +45,7 @@
     pool: Pool,
 }
 
-/// Ends a connection's task when dropped.
+/// Aborts a connection's task when dropped.
 #[derive(Debug)]
 struct TaskGuard(AbortHandle);
 
@@ -59,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// A [`SendFailure`], which tells whether anything was sent.
+    /// A [`SendFailure`], which shows whether anything was sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -72,78 +73,89 @@
         })
     }
 
-    /// Keeps the connection for a later request. To be called once the
-    /// answer's body has been read whole.
+    /// Keeps the connection for a later request. Must only be called once the
+    /// answer's body has been read to its end.
     pub fn keep(self) {
         if self.sender.is_closed() {
             return;
         }
         let Connection { address, sender, task, pool } = self;
-        let idle = Idle { sender, task, since_ms: now_ms() };
+        let idle = IdleConnection { sender, task, since_ms: now_ms() };
         let mut all = pool.idle.borrow_mut();
         let kept = all.entry(address).or_default();
-        kept.retain(|idle| idle.is_usable(IDLE_MOST_MS));
-        if kept.len() < KEPT_MOST {
+        kept.retain(|idle| idle.is_usable(MAX_IDLE_MS));
+        if kept.len() < MAX_IDLE_CONNECTIONS {
             kept.push(idle);
         }
     }
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     task: TaskGuard,
     since_ms: u64,
 }
 
-impl Idle {
-    fn is_usable(&self, most_ms: u64) -> bool {
-        !self.sender.is_closed() && now_ms() < self.since_ms + most_ms
+impl IdleConnection {
+    fn is_usable(&self, max_idle_ms: u64) -> bool {
+        !self.sender.is_closed() && now_ms() < self.since_ms + max_idle_ms
     }
 }
 
 /// The kept connections of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    idle: Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>,
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
 }
 
 impl Pool {
-    /// No connections yet.
+    /// Creates a pool without connections.
     pub fn new() -> Pool {
         Pool::default()
     }
 
-    /// A kept connection, or a new one.
+    /// Returns a kept connection, or a new one.
     ///
     /// # Errors
     ///
-    /// [`SendFailure::NotSent`] if none comes up in time,
-    /// [`SendFailure::NobodyThere`] if it is refused.
+    /// [`SendFailure::NotSent`] if no connection is established in time,
+    /// [`SendFailure::ConnectionRefused`] if it is refused.
     pub async fn open(
         &self,
         address: SocketAddr,
         may_repeat: bool,
     ) -> Result<Connection, SendFailure> {
-        match self.take(address, may_repeat) {
+        match self.take_idle(address, may_repeat) {
             Some(kept) => Ok(kept),
             None => self.connect(address).await,
         }
     }
 
-    /// The connections that one attempt may use.
-    pub fn openings(&self, address: SocketAddr, may_repeat: bool) -> Openings {
-        Openings { pool: self.clone(), address, may_repeat, opened: 0 }
+    /// Returns the connections that one attempt may use.
+    pub fn connections(
+        &self,
+        address: SocketAddr,
+        may_repeat: bool,
+    ) -> AttemptConnections {
+        AttemptConnections {
+            pool: self.clone(),
+            address,
+            may_repeat,
+            opened: 0,
+        }
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     async fn connect(
         &self,
         address: SocketAddr,
     ) -> Result<Connection, SendFailure> {
         let stream = frames::connect(address).await.map_err(|error| {
             match error.kind() {
-                io::ErrorKind::ConnectionRefused => SendFailure::NobodyThere,
+                io::ErrorKind::ConnectionRefused => {
+                    SendFailure::ConnectionRefused
+                }
                 _ => SendFailure::NotSent,
             }
         })?;
@@ -163,23 +175,23 @@
         })
     }
 
-    /// Ends the kept connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Closes the kept connections to an address.
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    fn take(
+    fn take_idle(
         &self,
         address: SocketAddr,
         may_repeat: bool,
     ) -> Option<Connection> {
-        let most_ms =
-            if may_repeat { IDLE_MOST_MS } else { IDLE_MOST_ONCE_MS };
+        let max_idle_ms =
+            if may_repeat { MAX_IDLE_MS } else { MAX_IDLE_NON_REPEATABLE_MS };
         let mut all = self.idle.borrow_mut();
         let kept = all.get_mut(&address)?;
         while let Some(idle) = kept.pop() {
-            if idle.is_usable(most_ms) && idle.sender.is_ready() {
-                let Idle { sender, task, .. } = idle;
+            if idle.is_usable(max_idle_ms) && idle.sender.is_ready() {
+                let IdleConnection { sender, task, .. } = idle;
                 let pool = self.clone();
                 return Some(Connection { address, sender, task, pool });
             }
@@ -191,22 +203,23 @@
 /// The connections that one attempt may use, one after the other.
 ///
 /// A target may have closed a kept connection meanwhile; then nothing was
-/// sent, and another connection is no new attempt. A target that has closed
-/// one may have closed all, so the other one is new.
+/// sent, and using another connection is not a new attempt. A target that
+/// closed one connection may have closed all, so the second one is always new.
 #[derive(Debug)]
-pub struct Openings {
+pub struct AttemptConnections {
     pool: Pool,
     address: SocketAddr,
     may_repeat: bool,
     opened: u32,
 }
 
-impl Openings {
-    /// A kept connection or a new one, then a new one, then none.
+impl AttemptConnections {
+    /// Returns a kept or new connection on the first call, a new one on the
+    /// second, then `None`.
     ///
     /// # Errors
     ///
-    /// As [`Pool::open`] has.
+    /// Those of [`Pool::open`].
     pub async fn next(&mut self) -> Option<Result<Connection, SendFailure>> {
         self.opened += 1;
         match self.opened {
--- a/crates/raildale/tests/connections.rs
+++ b/crates/raildale/tests/connections.rs
@@ -131,12 +131,12 @@
         first.keep();
         second.keep();
         target.close_both();
-        let mut openings = pool.openings(target.address, true);
-        let kept = openings.next().await.expect("one").expect("it is kept");
+        let mut connections = pool.connections(target.address, true);
+        let kept = connections.next().await.expect("one").expect("it is kept");
         drop(kept);
-        let mut new = openings.next().await.expect("another").expect("up");
+        let mut new = connections.next().await.expect("another").expect("up");
         assert_eq!(ask(&mut new).await.as_deref(), Ok(&b"ok"[..]));
-        assert!(openings.next().await.is_none());
+        assert!(connections.next().await.is_none());
     };
     LocalSet::new().run_until(trying).await;
 }
