--- a/crates/raildale/src/fleet/agent/calls.rs
+++ b/crates/raildale/src/fleet/agent/calls.rs
@@ -1,5 +1,5 @@
-//! Calls of the target and of the origin, each in a task of its own; what
-//! comes of one is told as an event.
+//! Calls to the target and to the origin, each in its own task, which sends
+//! the result as an event.
 
 use std::{future::Future, net::SocketAddr, rc::Rc};
 
@@ -15,7 +15,7 @@
     steady_clock::now_ms,
 };
 
-/// Calls of the target and of the origin.
+/// Calls to the target and to the origin.
 #[derive(Debug)]
 pub struct WeightCalls<P> {
     platform: Rc<P>,
@@ -26,7 +26,7 @@
 where
     P: WeightTarget + WeightOrigin + 'static,
 {
-    /// Calls through `platform` that are told to `events`.
+    /// Creates calls through `platform` whose results are sent to `events`.
     pub fn new(
         platform: Rc<P>,
         events: mpsc::UnboundedSender<Event>,
@@ -43,42 +43,42 @@
         item: Item,
     ) {
         let source = Source::Origin;
-        let asked_ms = now_ms();
+        let started_ms = now_ms();
         self.spawn(|platform| async move {
             match item {
                 Item::Manifest => {
-                    let found =
+                    let answer =
                         platform.manifest(origin, &model, version).await;
-                    let result = found.ok_or(FetchError::Lost);
+                    let result = answer.ok_or(FetchError::Lost);
                     Event::Manifest { version, source, result }
                 }
                 Item::Chunk(index) => {
-                    let found =
+                    let answer =
                         platform.chunk(origin, &model, version, index).await;
-                    let result = found.ok_or(FetchError::Lost);
-                    let took_ms = now_ms() - asked_ms;
+                    let result = answer.ok_or(FetchError::Lost);
+                    let took_ms = now_ms() - started_ms;
                     Event::Chunk { version, index, source, result, took_ms }
                 }
             }
         });
     }
 
-    /// Asks which start of the target is up.
-    pub fn ask_start(&self, health_path: Name) {
+    /// Queries which start of the target is up.
+    pub fn query_start(&self, health_path: Name) {
         self.spawn(|platform| async move {
             Event::Start(platform.start(&health_path).await)
         });
     }
 
-    /// Reads what lies in the target's staging.
+    /// Reads the chunks in the target's staging area.
     pub fn read_staging(&self, model: Name) {
         self.spawn(|platform| async move {
-            let chunks = read_all(&*platform, &model).await;
+            let chunks = read_all_staged(&*platform, &model).await;
             Event::StagingRead { chunks }
         });
     }
 
-    /// Puts all chunks into the target's staging.
+    /// Writes all chunks to the target's staging area.
     pub fn stage(&self, model: Name, version: u64, chunks: Vec<Bytes>) {
         self.spawn(|platform| async move {
             let mut is_done = true;
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Orders the target to load what lies staged.
+    /// Orders the target to load the staged chunks.
     pub fn order(
         &self,
         model: Name,
@@ -110,14 +110,16 @@
         let calling = call(self.platform.clone());
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
-            // The loop that takes events ends with the process only.
+            // The main loop, which receives events, only ends with the
+            // process.
             let _ = events.send(calling.await);
         });
     }
 }
 
-/// Every chunk that lies staged; `None` if one of them could not be read.
-async fn read_all<P: WeightTarget>(
+/// Returns all staged chunks; `None` if the list or one of them could not be
+/// read.
+async fn read_all_staged<P: WeightTarget>(
     platform: &P,
     model: &str,
 ) -> Option<Vec<(u32, Bytes)>> {
--- a/crates/raildale/src/fleet/agent/mod.rs
+++ b/crates/raildale/src/fleet/agent/mod.rs
@@ -1,21 +1,23 @@
-//! The shell of an agent: I/O round [`raildale_core::swarm::Swarm`].
+//! The I/O layer of an agent, around [`raildale_core::swarm::Swarm`].
 //!
-//! * [`worker`]: the loop that feeds the reducer and carries out effects.
-//! * [`calls`]: calls of the target and of the origin.
-//! * [`service_facts`]: what is known of the target's service.
-//! * [`store_facts`]: what the store is asked for while nobody briefs.
-//! * [`links`]: connections to other agents.
-//! * [`answering`]: answers to another agent, slice by slice.
-//! * [`server`]: what other agents ask of this one.
-//! * [`reports`]: what the entry hosts are told, and what they tell.
+//! * [`worker`]: the main loop, which passes events to the reducer and
+//!   executes its effects.
+//! * [`calls`]: calls to the target and to the origin.
+//! * [`service_info`]: what is known of the target's service.
+//! * [`store_queries`]: queries to the store while no entry host sends
+//!   briefings.
+//! * [`peer_connections`]: connections to other agents.
+//! * [`answer_writer`]: answers to other agents, sent in slices.
+//! * [`server`]: requests from other agents.
+//! * [`reports`]: reports to entry hosts, and briefings from them.
 
-pub mod answering;
+pub mod answer_writer;
 pub mod calls;
-pub mod links;
+pub mod peer_connections;
 pub mod reports;
 pub mod server;
-pub mod service_facts;
-pub mod store_facts;
+pub mod service_info;
+pub mod store_queries;
 pub mod worker;
 
 use tokio::task::LocalSet;
@@ -29,11 +31,11 @@
     signals::{Signals, Told},
 };
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until it receives the signal to stop.
 ///
 /// # Errors
 ///
-/// [`crate::ErrorKind::Config`] if its settings lack what an agent needs;
+/// [`crate::ErrorKind::Config`] if a setting that an agent needs is missing;
 /// [`crate::ErrorKind::Io`] if it cannot listen.
 pub async fn run<P>(
     file: FleetFile,
@@ -47,16 +49,18 @@
     let running = local.run_until(worker::run(file, platform));
     let mut running = std::pin::pin!(running);
     loop {
-        let told = tokio::select! {
+        let signal = tokio::select! {
             result = &mut running => return result,
-            told = signals.next() => told,
+            signal = signals.next() => signal,
         };
-        match told {
+        match signal {
             Told::Stop => {
                 log::info!("stopped");
                 return Ok(());
             }
-            Told::SettingsChanged => log::info!("nothing to take over"),
+            Told::SettingsChanged => {
+                log::info!("no setting takes effect while running")
+            }
         }
     }
 }
--- a/crates/raildale/src/fleet/agent/reports.rs
+++ b/crates/raildale/src/fleet/agent/reports.rs
@@ -1,4 +1,4 @@
-//! What the entry hosts are told of the target, and what they tell.
+//! Reports to the entry hosts about the target, and briefings from them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,172 +16,197 @@
 };
 use tokio::{net::UdpSocket, sync::mpsc};
 
-use super::service_facts::ServiceFacts;
+use super::service_info::ServiceInfo;
 use crate::fleet::{
     frames::{self, NoteReceiver},
     steady_clock::now_ms,
 };
 
-/// An entry host that has not briefed for this long gets no more reports,
-/// in milliseconds.
-const FORGET_MS: u64 = 4_000;
+/// How long after its last briefing an entry host still gets reports, in
+/// milliseconds.
+const SUBSCRIBER_EXPIRY_MS: u64 = 4_000;
 
-/// Time between two questions for the first briefing: the way there and back
-/// takes a few milliseconds, and a seed that starts as well knows the
+/// The minimum pause between two requests for the first briefing: a round trip
+/// takes a few milliseconds, and a seed that starts at the same time knows the
 /// configuration after a tenth of a second.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
+const MIN_REQUEST_PAUSE: Duration = Duration::from_millis(60);
 
-/// Longest time between two such questions: after a loss of all, hundreds of
-/// agents turn to the same few seeds.
-const ASK_AGAIN_MOST: Duration = Duration::from_millis(500);
+/// The maximum pause between two such requests: after a loss of all, hundreds
+/// of agents send them to the same few seeds.
+const MAX_REQUEST_PAUSE: Duration = Duration::from_millis(500);
 
-/// Of this many regular reports, entry hosts of other data centres get one:
-/// these send little here, and bytes that cross are dear.
-const FAR_EVERY: u32 = 3;
+/// Entry hosts of other data centres get one of this many regular reports:
+/// they send few requests here, and traffic between data centres is costly.
+const FAR_REPORT_INTERVAL: u32 = 3;
 
-/// The entry hosts that want reports.
+/// Sends reports to the entry hosts that send briefings. Clones share their
+/// state.
 #[derive(Clone, Debug)]
 pub struct Reports {
     socket: Rc<UdpSocket>,
     target: SocketAddr,
-    readers: Rc<RefCell<HashMap<SocketAddr, Reader>>>,
-    facts: Rc<ServiceFacts>,
-    /// When the last briefing with a list of agents came.
+    subscribers: Rc<RefCell<HashMap<SocketAddr, Subscriber>>>,
+    service_info: Rc<ServiceInfo>,
+    /// When the last briefing with a list of agents arrived.
     listed_ms: Rc<Cell<u64>>,
-    /// Whether such a briefing ever came.
-    is_briefed: Rc<Cell<bool>>,
-    /// Looks at the target so far.
-    looks: Rc<Cell<u32>>,
-    queue_delay: QueueClock,
+    /// Whether such a briefing has ever arrived.
+    has_agent_list: Rc<Cell<bool>>,
+    /// The number of regular reports so far; it wraps around.
+    poll_count: Rc<Cell<u32>>,
+    queue_delay: SharedQueueDelay,
 }
 
-/// What is known of the queue before the own link; shared with the
-/// connections that measure it.
-pub type QueueClock = Rc<RefCell<QueueDelay>>;
+/// The measured queueing delay of data that arrives over the own link, shared
+/// with the connections that measure it.
+pub type SharedQueueDelay = Rc<RefCell<QueueDelay>>;
 
-/// An entry host's last briefing.
+/// The last briefing of an entry host.
 #[derive(Clone, Copy, Debug)]
-struct Reader {
-    /// When it came, on this process's clock.
-    at_ms: u64,
-    /// When it left, on the sender's clock.
+struct Subscriber {
+    /// When it arrived, by this process's clock.
+    received_ms: u64,
+    /// When it was sent, by the sender's clock.
     sent_ms: u64,
-    /// Whether the entry host looks after this data centre.
+    /// Whether it is marked as near: such an entry host gets every report.
     is_near: bool,
 }
 
 impl Reports {
-    /// Reports of a target, to whoever briefs; what briefings tell of its
-    /// service goes to `facts`.
+    /// Creates reports about a target. What briefings contain about its
+    /// service goes to `service_info`.
     pub fn new(
         socket: UdpSocket,
         target: SocketAddr,
-        facts: Rc<ServiceFacts>,
-        queue_delay: QueueClock,
+        service_info: Rc<ServiceInfo>,
+        queue_delay: SharedQueueDelay,
     ) -> Reports {
         Reports {
             socket: Rc::new(socket),
             target,
-            readers: Rc::default(),
-            facts,
+            subscribers: Rc::default(),
+            service_info,
             listed_ms: Rc::new(Cell::new(now_ms())),
-            is_briefed: Rc::default(),
-            looks: Rc::default(),
+            has_agent_list: Rc::default(),
+            poll_count: Rc::default(),
             queue_delay,
         }
     }
 
-    /// When the last briefing with a list of agents came; the start of the
-    /// process if none has.
+    /// Returns when the last briefing with a list of agents arrived, or when
+    /// the process started if none has.
     pub fn last_list_ms(&self) -> u64 {
         self.listed_ms.get()
     }
 
-    /// How long what comes in waits before the link, in milliseconds.
+    /// Returns the queueing delay of incoming data, in milliseconds.
     pub fn queue_ms(&self) -> u64 {
         self.queue_delay.borrow().ms(now_ms())
     }
 
-    /// Asks the entry hosts at `seeds` for a briefing until one comes: the
-    /// others know of this agent only once its target is listed.
-    pub async fn introduce(self, seeds: Vec<SocketAddr>, ask: AskBriefing) {
-        let note = frames::encode_note(Note::AskBriefing(ask));
-        let mut pause = ASK_AGAIN;
-        while !self.is_briefed.get() {
+    /// Requests a briefing from the entry hosts at `seeds` until one with a
+    /// list of agents arrives: other entry hosts only know this agent once its
+    /// target is listed.
+    pub async fn request_briefing(
+        self,
+        seeds: Vec<SocketAddr>,
+        request: AskBriefing,
+    ) {
+        let note = frames::encode_note(Note::AskBriefing(request));
+        let mut pause = MIN_REQUEST_PAUSE;
+        while !self.has_agent_list.get() {
             for seed in &seeds {
                 if let Err(error) = self.socket.send_to(&note, seed).await {
-                    log::debug!("question to {seed}: {error}");
+                    log::debug!("briefing request to {seed}: {error}");
                 }
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 3 / 2).min(ASK_AGAIN_MOST);
+            pause = (pause * 3 / 2).min(MAX_REQUEST_PAUSE);
         }
     }
 
-    /// Takes briefings for as long as the process runs.
+    /// Receives briefings for as long as the process runs.
     pub async fn receive(self, events: mpsc::UnboundedSender<Event>) {
         let mut notes = NoteReceiver::new(self.socket.clone());
         loop {
             let (note, from) = notes.next().await;
             let Note::Briefing(briefing) = note else { continue };
-            self.note_reader(from, &briefing);
-            self.facts.note_briefing(&briefing);
-            for event in events_of(&briefing) {
-                // The loop that takes events ends with the process only.
+            self.record_subscriber(from, &briefing);
+            self.service_info.apply_briefing(&briefing);
+            for event in briefing_events(&briefing) {
+                // The main loop, which receives events, only ends with the
+                // process.
                 let _ = events.send(event);
             }
         }
     }
 
-    /// Notes that an entry host briefs, and so wants reports.
-    fn note_reader(&self, from: SocketAddr, briefing: &Briefing) {
+    /// Records an entry host that sends briefings, and so receives reports.
+    fn record_subscriber(&self, from: SocketAddr, briefing: &Briefing) {
         let now = now_ms();
         let is_near = briefing.is_near;
-        let reader = Reader { at_ms: now, sent_ms: briefing.sent_ms, is_near };
-        self.readers.borrow_mut().insert(from, reader);
+        let subscriber = Subscriber {
+            received_ms: now,
+            sent_ms: briefing.sent_ms,
+            is_near,
+        };
+        self.subscribers.borrow_mut().insert(from, subscriber);
         if !briefing.agents.is_empty() {
             self.listed_ms.set(now);
-            self.is_briefed.set(true);
+            self.has_agent_list.set(true);
         }
     }
 
-    /// Tells entry hosts what a regular look at the target found; the next
-    /// look is `look_ms` later. Those of other data centres hear of one look
-    /// in `FAR_EVERY`.
-    pub async fn send_regularly(&self, report: &TargetReport, look_ms: u32) {
-        let looks = self.looks.get();
-        self.looks.set(looks.wrapping_add(1));
-        let is_far_due = looks.is_multiple_of(FAR_EVERY);
-        self.send(report, look_ms, is_far_due).await;
+    /// Sends the result of a regular poll of the target; the next one is in
+    /// `poll_interval_ms`. Entry hosts of other data centres get one report in
+    /// `FAR_REPORT_INTERVAL`.
+    pub async fn send_regular(
+        &self,
+        report: &TargetReport,
+        poll_interval_ms: u32,
+    ) {
+        let poll_count = self.poll_count.get();
+        self.poll_count.set(poll_count.wrapping_add(1));
+        let is_far_due = poll_count.is_multiple_of(FAR_REPORT_INTERVAL);
+        self.send(report, poll_interval_ms, is_far_due).await;
     }
 
-    /// Tells every entry host that wants to know what has just changed.
-    pub async fn send_news(&self, report: &TargetReport, look_ms: u32) {
-        self.send(report, look_ms, true).await;
+    /// Reports a change to all subscribed entry hosts at once.
+    pub async fn send_change(
+        &self,
+        report: &TargetReport,
+        poll_interval_ms: u32,
+    ) {
+        self.send(report, poll_interval_ms, true).await;
     }
 
     async fn send(
         &self,
         report: &TargetReport,
-        look_ms: u32,
+        poll_interval_ms: u32,
         is_far_due: bool,
     ) {
         let now = now_ms();
-        let readers: Vec<(SocketAddr, Reader)> = {
-            let mut readers = self.readers.borrow_mut();
-            readers.retain(|_, reader| now - reader.at_ms < FORGET_MS);
-            readers.iter().map(|(to, reader)| (*to, *reader)).collect()
+        let subscribers: Vec<(SocketAddr, Subscriber)> = {
+            let mut subscribers = self.subscribers.borrow_mut();
+            subscribers.retain(|_, subscriber| {
+                now - subscriber.received_ms < SUBSCRIBER_EXPIRY_MS
+            });
+            subscribers
+                .iter()
+                .map(|(to, subscriber)| (*to, *subscriber))
+                .collect()
         };
         let mut message = Report::of(self.target, report);
         message.queue_ms = self.queue_ms();
-        for (to, reader) in readers {
-            if !reader.is_near && !is_far_due {
+        for (to, subscriber) in subscribers {
+            if !subscriber.is_near && !is_far_due {
                 continue;
             }
-            let every = if reader.is_near { 1 } else { FAR_EVERY };
-            message.every_ms = look_ms * every;
-            message.briefing_sent_ms = reader.sent_ms;
-            message.briefing_age_ms = now - reader.at_ms;
+            let interval =
+                if subscriber.is_near { 1 } else { FAR_REPORT_INTERVAL };
+            message.every_ms = poll_interval_ms * interval;
+            message.briefing_sent_ms = subscriber.sent_ms;
+            message.briefing_age_ms = now - subscriber.received_ms;
             let note = frames::encode_note(Note::Report(message.clone()));
             if let Err(error) = self.socket.send_to(&note, to).await {
                 log::debug!("report to {to}: {error}");
@@ -190,11 +215,11 @@
     }
 }
 
-/// What a briefing tells the reducer.
-fn events_of(briefing: &Briefing) -> Vec<Event> {
+/// Returns the reducer's events for a briefing.
+fn briefing_events(briefing: &Briefing) -> Vec<Event> {
     let now = now_ms();
     let mut events = Vec::new();
-    let peers = peers_of(briefing);
+    let peers = listed_peers(briefing);
     if !peers.is_empty() {
         events.push(Event::Peers(peers));
     }
@@ -210,9 +235,9 @@
     events
 }
 
-/// The agents that a briefing lists; without those whose data centre it does
-/// not name.
-fn peers_of(briefing: &Briefing) -> Vec<Peer> {
+/// Returns the agents that a briefing lists, except those whose data centre it
+/// does not name.
+fn listed_peers(briefing: &Briefing) -> Vec<Peer> {
     let centres: Vec<Name> = briefing
         .data_centres
         .iter()
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -1,4 +1,4 @@
-//! What other agents ask of this one.
+//! Requests from other agents.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc};
 
@@ -13,42 +13,42 @@
 };
 use tokio_util::codec::FramedRead;
 
-use super::answering::{Answering, Link, SliceWindow, Waiting};
+use super::answer_writer::{AnswerWriter, Link, QueuedAnswer, SliceWindow};
 use crate::{
     codec,
     error::Error,
     fleet::{frames, steady_clock::now_ms},
 };
 
-type Answers = mpsc::UnboundedSender<Waiting>;
+type Answers = mpsc::UnboundedSender<QueuedAnswer>;
 
-/// Answers other agents' questions.
+/// Answers other agents' requests. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Server {
     events: mpsc::UnboundedSender<Event>,
-    open: Rc<RefCell<OpenQuestions>>,
+    open: Rc<RefCell<OpenRequests>>,
     link: Rc<Link>,
 }
 
-/// Questions without an answer yet.
+/// Requests that are not answered yet.
 #[derive(Debug, Default)]
-struct OpenQuestions {
-    last: u64,
-    by_ticket: HashMap<Ticket, OpenQuestion>,
+struct OpenRequests {
+    last_ticket: u64,
+    by_ticket: HashMap<Ticket, OpenRequest>,
 }
 
-/// A question without an answer yet.
+/// A request that is not answered yet.
 #[derive(Debug)]
-struct OpenQuestion {
-    /// Its name on its connection.
-    question: u64,
-    asked_ms: u64,
-    /// Where its answer goes.
+struct OpenRequest {
+    /// Its ID on its connection.
+    request_id: u64,
+    requested_ms: u64,
+    /// The queue of its connection's answers.
     answers: Answers,
 }
 
 impl Server {
-    /// A server whose answers leave at `bytes_per_s` at most.
+    /// Creates a server that sends at most `bytes_per_s` of answers, in total.
     pub fn new(
         events: mpsc::UnboundedSender<Event>,
         bytes_per_s: u64,
@@ -57,7 +57,7 @@
         Server { events, open: Rc::default(), link }
     }
 
-    /// Takes connections for as long as the process runs.
+    /// Accepts connections for as long as the process runs.
     pub async fn run(self, listener: TcpListener) {
         loop {
             let (stream, from) = frames::accept(&listener).await;
@@ -65,47 +65,53 @@
         }
     }
 
-    /// Answers a question.
+    /// Answers a request. Has no effect if it was already answered.
     pub fn answer(&self, ticket: Ticket, content: Content) {
         let known = self.open.borrow_mut().by_ticket.remove(&ticket);
         if let Some(open) = known {
-            let OpenQuestion { question, asked_ms, answers } = open;
-            // Whoever asked may have gone.
-            let _ = answers.send(Waiting { question, asked_ms, content });
+            let OpenRequest { request_id, requested_ms, answers } = open;
+            // The requesting agent may have disconnected.
+            let _ = answers.send(QueuedAnswer {
+                request_id,
+                requested_ms,
+                content,
+            });
         }
     }
 
     async fn serve(self, stream: TcpStream, from: SocketAddr) {
         let (read, write) = stream.into_split();
-        let (answers, frames_out) = mpsc::unbounded_channel();
+        let (answers, answer_receiver) = mpsc::unbounded_channel();
         let window = SliceWindow::new();
-        let answering = Answering {
+        let answer_writer = AnswerWriter {
             write,
             link: self.link.clone(),
             window: window.clone(),
         };
-        tokio::task::spawn_local(answering.run(frames_out));
-        self.read_questions(read, from, &answers, &window).await;
+        tokio::task::spawn_local(answer_writer.run(answer_receiver));
+        self.read_requests(read, from, &answers, &window).await;
         window.close();
     }
 
-    async fn read_questions(
+    async fn read_requests(
         &self,
         read: OwnedReadHalf,
         from: SocketAddr,
         answers: &Answers,
         window: &SliceWindow,
     ) {
-        let mut questions = FramedRead::new(read, codec::splitter());
-        while let Some(frame) = questions.next().await {
+        let mut requests = FramedRead::new(read, codec::splitter());
+        while let Some(frame) = requests.next().await {
             let body = frame
                 .map_err(Error::from)
                 .and_then(|frame| frames::decode_frame(frame.freeze()));
             match body {
-                Ok(FleetBody::AskItem(ask)) => self.take(ask, answers),
-                Ok(FleetBody::TookSlice(_)) => window.note_taken(),
+                Ok(FleetBody::AskItem(ask)) => {
+                    self.handle_request(ask, answers)
+                }
+                Ok(FleetBody::TookSlice(_)) => window.acknowledge(),
                 Ok(_) => {
-                    log::warn!("agent {from}: a frame out of place");
+                    log::warn!("agent {from}: unexpected frame");
                     return;
                 }
                 Err(error) => {
@@ -116,22 +122,22 @@
         }
     }
 
-    fn take(&self, ask: AskItem, answers: &Answers) {
+    fn handle_request(&self, ask: AskItem, answers: &Answers) {
         let ticket = {
             let mut open = self.open.borrow_mut();
-            open.last += 1;
-            let ticket = Ticket(open.last);
-            let question = OpenQuestion {
-                question: ask.question,
-                asked_ms: now_ms(),
+            open.last_ticket += 1;
+            let ticket = Ticket(open.last_ticket);
+            let request = OpenRequest {
+                request_id: ask.question,
+                requested_ms: now_ms(),
                 answers: answers.clone(),
             };
-            open.by_ticket.insert(ticket, question);
+            open.by_ticket.insert(ticket, request);
             ticket
         };
         let item = ask.chunk.map_or(Item::Manifest, Item::Chunk);
         let AskItem { version, hops, .. } = ask;
-        // The loop that takes events ends with the process only.
+        // The main loop, which receives events, only ends with the process.
         let _ = self.events.send(Event::Asked { ticket, version, item, hops });
     }
 }
--- a/crates/raildale/src/fleet/agent/service_facts.rs
+++ b/crates/raildale/src/fleet/agent/service_info.rs
@@ -1,5 +1,5 @@
-//! What an agent knows of the service of its target: the model that it
-//! loads, where its weights come from, and where targets tell their health.
+//! Information about the service of an agent's target: the model that it
+//! loads, where its weights come from, and the path of its health checks.
 
 use std::{
     cell::{Cell, RefCell},
@@ -8,22 +8,22 @@
 
 use raildale_core::{Name, fleet_message::Briefing};
 
-/// What is known of a service; briefings and the store both tell it.
+/// Information about a service, from briefings and from the store.
 #[derive(Debug, Default)]
-pub struct ServiceFacts {
+pub struct ServiceInfo {
     model: RefCell<Option<Name>>,
     origin: Cell<Option<SocketAddr>>,
     health_path: RefCell<Option<Name>>,
 }
 
-impl ServiceFacts {
-    /// Nothing known yet.
-    pub fn new() -> ServiceFacts {
-        ServiceFacts::default()
+impl ServiceInfo {
+    /// Creates it without any information.
+    pub fn new() -> ServiceInfo {
+        ServiceInfo::default()
     }
 
-    /// Takes over what somebody tells; what is not told stays.
-    pub fn note(&self, model: Option<Name>, origin: Option<SocketAddr>) {
+    /// Updates the model and the origin; `None` leaves the value unchanged.
+    pub fn update(&self, model: Option<Name>, origin: Option<SocketAddr>) {
         if model.is_some() {
             self.model.replace(model);
         }
@@ -32,16 +32,16 @@
         }
     }
 
-    /// Takes over where targets tell their health; an empty path tells
+    /// Sets the path of the targets' health checks; an empty path changes
     /// nothing.
-    pub fn note_health_path(&self, path: &str) {
+    pub fn set_health_path(&self, path: &str) {
         if !path.is_empty() {
             self.health_path.replace(Some(Name::from(path)));
         }
     }
 
-    /// Takes over what an entry host tells.
-    pub fn note_briefing(&self, briefing: &Briefing) {
+    /// Updates everything that a briefing contains.
+    pub fn apply_briefing(&self, briefing: &Briefing) {
         let model = briefing.model.as_str();
         let model = (!model.is_empty()).then(|| Name::from(model));
         let origin = match briefing.origin.as_str() {
@@ -49,26 +49,27 @@
             text => match text.parse() {
                 Ok(address) => Some(address),
                 Err(error) => {
-                    log::warn!("briefing: the origin's address: {error}");
+                    log::warn!("briefing: invalid origin address: {error}");
                     None
                 }
             },
         };
-        self.note(model, origin);
-        self.note_health_path(&briefing.health_path);
+        self.update(model, origin);
+        self.set_health_path(&briefing.health_path);
     }
 
-    /// The model that the target loads.
+    /// Returns the model that the target loads; `None` if unknown.
     pub fn model(&self) -> Option<Name> {
         self.model.borrow().clone()
     }
 
-    /// The path of the targets' health checks, where they tell their id.
+    /// Returns the path of the targets' health checks, whose answers contain
+    /// the target's ID; `None` if unknown.
     pub fn health_path(&self) -> Option<Name> {
         self.health_path.borrow().clone()
     }
 
-    /// Where the origin of weights listens.
+    /// Returns the address of the origin of weights; `None` if unknown.
     pub fn origin(&self) -> Option<SocketAddr> {
         self.origin.get()
     }
--- a/crates/raildale/src/fleet/agent/store_facts.rs
+++ b/crates/raildale/src/fleet/agent/store_queries.rs
@@ -1,9 +1,9 @@
-//! What an agent asks the store for when no entry host tells it.
+//! Queries of an agent to the store while no entry host sends it briefings.
 //!
-//! Entry hosts brief every agent in the list of targets, so that an agent
-//! needs the store only while none does. After a loss of power all machines
-//! of a fleet start at once; were each agent to read the configuration then,
-//! the store and the agents' links would be busy with that for seconds.
+//! Entry hosts send briefings to every agent in the list of targets, so an
+//! agent only needs the store while it receives none. After a loss of power
+//! all machines of a fleet start at once: if each agent then read the
+//! configuration, the store and the agents' links would be busy for seconds.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -13,81 +13,83 @@
 };
 use tokio::sync::mpsc;
 
-use super::service_facts::ServiceFacts;
+use super::service_info::ServiceInfo;
 use crate::fleet::{
     edge::{Dialect, Store},
     steady_clock::now_ms,
 };
 
-/// Time from the end of a round of questions to the next, in milliseconds:
-/// calls of the store are dear.
-const ROUND_PAUSE_MS: u64 = 2_000;
+/// The pause between two rounds of queries, in milliseconds: calls of the
+/// store are costly.
+const QUERY_PAUSE_MS: u64 = 2_000;
 
-/// The questions of an agent to the store.
+/// The queries of an agent to the store.
 #[derive(Debug)]
-pub struct StoreFacts<P> {
+pub struct StoreQueries<P> {
     platform: Rc<P>,
     service: String,
-    facts: Rc<ServiceFacts>,
+    service_info: Rc<ServiceInfo>,
     events: mpsc::UnboundedSender<Event>,
-    is_asking: Cell<bool>,
-    asked_ms: Cell<u64>,
+    is_running: Cell<bool>,
+    last_run_ms: Cell<u64>,
 }
 
-impl<P: Dialect + Store + 'static> StoreFacts<P> {
-    /// Questions about `service`, whose answers go to `facts` and `events`.
+impl<P: Dialect + Store + 'static> StoreQueries<P> {
+    /// Creates queries about `service`, whose results go to `service_info` and
+    /// `events`.
     pub fn new(
         platform: Rc<P>,
         service: String,
-        facts: Rc<ServiceFacts>,
+        service_info: Rc<ServiceInfo>,
         events: mpsc::UnboundedSender<Event>,
-    ) -> StoreFacts<P> {
-        StoreFacts {
+    ) -> StoreQueries<P> {
+        StoreQueries {
             platform,
             service,
-            facts,
+            service_info,
             events,
-            is_asking: Cell::new(false),
-            asked_ms: Cell::new(0),
+            is_running: Cell::new(false),
+            last_run_ms: Cell::new(0),
         }
     }
 
-    /// Starts a round of questions, unless one runs or ended just now. The
-    /// answers may take seconds: nobody waits for them.
-    pub fn ask(self: &Rc<Self>) {
-        let is_due = now_ms() > self.asked_ms.get() + ROUND_PAUSE_MS;
-        if self.is_asking.get() || !is_due {
+    /// Starts a round of queries, unless one is running or has just ended. The
+    /// answers may take seconds, so the round runs in its own task.
+    pub fn start(self: &Rc<Self>) {
+        let is_due = now_ms() > self.last_run_ms.get() + QUERY_PAUSE_MS;
+        if self.is_running.get() || !is_due {
             return;
         }
-        self.is_asking.set(true);
-        let asking = self.clone();
+        self.is_running.set(true);
+        let queries = self.clone();
         tokio::task::spawn_local(async move {
-            asking.ask_all().await;
-            asking.asked_ms.set(now_ms());
-            asking.is_asking.set(false);
+            queries.query_all().await;
+            queries.last_run_ms.set(now_ms());
+            queries.is_running.set(false);
         });
     }
 
-    async fn ask_all(&self) {
-        let layout = self.ask_layout().await;
-        for event in self.ask_versions().await {
-            self.tell(event);
+    async fn query_all(&self) {
+        let layout = self.query_layout().await;
+        for event in self.query_versions().await {
+            self.send_event(event);
         }
-        if let Some(peers) = self.ask_peers().await {
-            self.tell(peers);
+        if let Some(peers) = self.query_peers().await {
+            self.send_event(peers);
         }
         if let Some(layout) = layout {
-            self.tell(layout);
+            self.send_event(layout);
         }
     }
 
-    fn tell(&self, event: Event) {
-        // The loop that takes events ends with the process only.
+    fn send_event(&self, event: Event) {
+        // The main loop, which receives events, only ends with the process.
         let _ = self.events.send(event);
     }
 
-    /// Asks for the configuration; tells how weights are spread.
-    async fn ask_layout(&self) -> Option<Event> {
+    /// Reads the configuration. Returns how the service's weights are spread;
+    /// `None` if unknown.
+    async fn query_layout(&self) -> Option<Event> {
         let snapshot = self.list(Kind::Configuration).await?;
         let mut layout = None;
         for object in &snapshot.objects {
@@ -98,13 +100,13 @@
                     continue;
                 }
             };
-            self.facts.note(None, routing.origin());
+            self.service_info.update(None, routing.origin());
             let Some(service) = routing.service(&self.service) else {
                 continue;
             };
             let Some(engine) = &service.engine else { continue };
-            self.facts.note(engine.models.first().cloned(), None);
-            self.facts.note_health_path(&service.health_path);
+            self.service_info.update(engine.models.first().cloned(), None);
+            self.service_info.set_health_path(&service.health_path);
             layout = Some(Event::Layout {
                 chunk_count: engine.chunk_count,
                 may_cut: routing.is_resumable(&service.name),
@@ -114,13 +116,13 @@
         layout
     }
 
-    /// Asks for the versions of the model that were named.
-    async fn ask_versions(&self) -> Vec<Event> {
+    /// Reads the named versions of the target's model.
+    async fn query_versions(&self) -> Vec<Event> {
         let Some(snapshot) = self.list(Kind::Versions).await else {
             return Vec::new();
         };
         let named_ms = now_ms();
-        let model = self.facts.model();
+        let model = self.service_info.model();
         let mut events = Vec::new();
         for object in &snapshot.objects {
             match self.platform.named_weights(&object.body) {
@@ -135,8 +137,9 @@
         events
     }
 
-    /// Asks for the service's targets; tells their agents.
-    async fn ask_peers(&self) -> Option<Event> {
+    /// Reads the service's targets. Returns their agents; `None` if the list
+    /// could not be read.
+    async fn query_peers(&self) -> Option<Event> {
         let snapshot = self.list(Kind::Targets).await?;
         let mut peers = Vec::new();
         for object in &snapshot.objects {
@@ -153,8 +156,8 @@
             peers.push(Peer {
                 ip: spec.address.ip(),
                 data_centre: spec.data_centre,
-                // The list may be older than a loss of power: who holds
-                // what is believed from briefings alone.
+                // The list may be older than a loss of power, so which agents
+                // hold a version is only taken from briefings.
                 whole_version: 0,
                 serves_version: spec.serves_version.unwrap_or(0),
                 is_slow: false,
@@ -163,12 +166,13 @@
         Some(Event::Peers(peers))
     }
 
-    /// A list that may be stale: it costs the store less.
+    /// Reads a list that may be stale, which costs the store less. Returns
+    /// `None` after logging a failure.
     async fn list(&self, kind: Kind) -> Option<Snapshot> {
         match self.platform.list(kind, true).await {
             Ok(snapshot) => Some(snapshot),
             Err(failure) => {
-                log::info!("store: {kind:?}: {failure:?}");
+                log::info!("listing {kind:?} in the store: {failure:?}");
                 None
             }
         }
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -1,4 +1,5 @@
-//! The loop of an agent: events to the reducer, effects carried out.
+//! The main loop of an agent, which passes events to the reducer and executes
+//! its effects.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,11 +19,11 @@
 
 use super::{
     calls::WeightCalls,
-    links::{Links, Question},
-    reports::{QueueClock, Reports},
+    peer_connections::{ItemRequest, PeerConnections},
+    reports::{Reports, SharedQueueDelay},
     server::Server,
-    service_facts::ServiceFacts,
-    store_facts::StoreFacts,
+    service_info::ServiceInfo,
+    store_queries::StoreQueries,
 };
 use crate::{
     error::{Error, ErrorKind},
@@ -34,109 +35,111 @@
     logs,
 };
 
-/// Transfers at once: six chunks of 49,152 bytes take 250 ms on a link of
-/// 9.4 Mbit/s.
-const PARALLEL: usize = 6;
+/// The maximum number of parallel transfers: six chunks of 49,152 bytes take
+/// 250 ms on a link of 9.4 Mbit/s.
+const MAX_PARALLEL_TRANSFERS: usize = 6;
 
-/// The share of the link that chunks may use: answers to callers leave by
-/// the same link.
-const LINK_SHARE: f64 = 0.85;
+/// The maximum share of the link's rate for chunks: answers to callers use the
+/// same link.
+const MAX_LINK_SHARE: f64 = 0.85;
 
-/// Time between two looks at the target while nothing is under way, in
-/// milliseconds.
-const CALM_LOOK_MS: u32 = 100;
+/// The interval between polls of the target while no weights are being
+/// transferred or loaded, in milliseconds.
+const IDLE_POLL_INTERVAL_MS: u32 = 100;
 
-/// Time between two looks at the target while weights are on their way, in
-/// milliseconds.
-const BUSY_LOOK_MS: u32 = 50;
+/// The interval between polls of the target while weights are being
+/// transferred or loaded, in milliseconds.
+const BUSY_POLL_INTERVAL_MS: u32 = 50;
 
-/// Without a list of agents for this long the store is asked, in
-/// milliseconds: entry hosts brief every 400 ms, and after a loss of power
-/// they know the configuration 0.5 to 0.9 s after their start.
-const UNBRIEFED_MS: u64 = 1_500;
+/// The minimum time without a list of agents after which the store is queried,
+/// in milliseconds. Entry hosts send briefings every 400 ms, and after a loss
+/// of power they know the configuration 0.5 to 0.9 s after their start.
+const MIN_STORE_QUERY_DELAY_MS: u64 = 1_500;
 
-/// What is added to that at random, so that not all agents ask at once.
-const UNBRIEFED_SPREAD_MS: u64 = 700;
+/// The maximum random addition to that, in milliseconds, so that not all
+/// agents query the store at once.
+const STORE_QUERY_JITTER_MS: u64 = 700;
 
-type Inbox = mpsc::UnboundedReceiver<Event>;
+type EventReceiver = mpsc::UnboundedReceiver<Event>;
 
-/// What the loop of an agent holds.
+/// The state of an agent's main loop.
 struct Agent<P> {
     platform: Rc<P>,
     name: Name,
     swarm: Swarm,
-    facts: Rc<ServiceFacts>,
-    store: Rc<StoreFacts<P>>,
-    /// Without a list of agents for this long it asks the store.
-    unbriefed_ms: u64,
+    service_info: Rc<ServiceInfo>,
+    store: Rc<StoreQueries<P>>,
+    /// The time without a list of agents after which the store is queried, in
+    /// milliseconds.
+    store_query_delay_ms: u64,
     calls: WeightCalls<P>,
-    links: Links,
+    peer_connections: PeerConnections,
     server: Server,
     reports: Reports,
     events: mpsc::UnboundedSender<Event>,
-    /// What the target said of itself last.
+    /// The last notice of the target.
     notice: TargetNotice,
 }
 
-/// Runs an agent for as long as the process runs.
+/// Runs an agent. Returns only if it cannot start.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Config`] if its settings name no target;
-/// [`ErrorKind::Io`] if it cannot listen.
+/// [`ErrorKind::Config`] if the settings name no target; [`ErrorKind::Io`] if
+/// it cannot listen.
 pub async fn run<P>(file: FleetFile, platform: P) -> Result<(), Error>
 where
     P: Dialect + Store + WeightTarget + WeightOrigin + 'static,
 {
-    let (mut agent, inbox) = Agent::start(file, platform).await?;
-    agent.run(inbox).await
+    let (mut agent, event_receiver) = Agent::start(file, platform).await?;
+    agent.run(event_receiver).await
 }
 
 impl<P> Agent<P>
 where
     P: Dialect + Store + WeightTarget + WeightOrigin + 'static,
 {
-    /// Listens, and starts the tasks beside the loop: its server, and the
-    /// talk with entry hosts.
+    /// Listens, and starts the tasks besides the main loop: the server, and
+    /// the exchange of messages with entry hosts.
     async fn start(
         file: FleetFile,
         platform: P,
-    ) -> Result<(Agent<P>, Inbox), Error> {
+    ) -> Result<(Agent<P>, EventReceiver), Error> {
         let target = file.target.clone().ok_or_else(|| {
-            Error::new(ErrorKind::Config, "target: an agent needs it")
+            Error::new(ErrorKind::Config, "target: required for an agent")
         })?;
         let address = SocketAddr::new(file.node.ip, file.node.agent_port());
         let listener = TcpListener::bind(address).await?;
         let socket = UdpSocket::bind(address).await?;
-        let (events, inbox) = mpsc::unbounded_channel();
-        let bytes_per_s = (file.link_bytes_per_s() * LINK_SHARE) as u64;
+        let (events, event_receiver) = mpsc::unbounded_channel();
+        let bytes_per_s = (file.link_bytes_per_s() * MAX_LINK_SHARE) as u64;
         let server = Server::new(events.clone(), bytes_per_s);
-        let facts = Rc::new(ServiceFacts::new());
-        let queue_delay = QueueClock::default();
+        let service_info = Rc::new(ServiceInfo::new());
+        let queue_delay = SharedQueueDelay::default();
         let reports = Reports::new(
             socket,
             target.address,
-            facts.clone(),
+            service_info.clone(),
             queue_delay.clone(),
         );
         tokio::task::spawn_local(server.clone().run(listener));
         tokio::task::spawn_local(reports.clone().receive(events.clone()));
-        introduce(&reports, &file.node, &target.service);
+        request_briefing(&reports, &file.node, &target.service);
         let platform = Rc::new(platform);
-        let store = StoreFacts::new(
+        let store = StoreQueries::new(
             platform.clone(),
             target.service,
-            facts.clone(),
+            service_info.clone(),
             events.clone(),
         );
         let agent = Agent {
             name: Name::from(file.node.name.as_str()),
             swarm: Swarm::new(swarm_config(&file)),
-            facts,
+            service_info,
             store: Rc::new(store),
-            unbriefed_ms: unbriefed_ms(),
+            store_query_delay_ms: store_query_delay_ms(),
             calls: WeightCalls::new(platform.clone(), events.clone()),
-            links: Links::new(
+            peer_connections: PeerConnections::new(
                 file.node.agent_port(),
                 events.clone(),
                 queue_delay,
@@ -149,52 +152,55 @@
         };
         let detail = format!("role=agent ip={}", file.node.ip);
         logs::event(&agent.name, LogEvent::Started, &detail);
-        Ok((agent, inbox))
+        Ok((agent, event_receiver))
     }
 
-    /// Looks at the target regularly, and takes events in between.
-    async fn run(&mut self, mut inbox: Inbox) -> Result<(), Error> {
+    /// Polls the target regularly, and handles events in between.
+    async fn run(
+        &mut self,
+        mut event_receiver: EventReceiver,
+    ) -> Result<(), Error> {
         loop {
-            self.look().await;
-            let pause_ms = u64::from(self.look_ms());
+            self.poll_target().await;
+            let pause_ms = u64::from(self.poll_interval_ms());
             let pause = Duration::from_millis(pause_ms);
             let until = tokio::time::Instant::now() + pause;
             while let Ok(Some(event)) =
-                tokio::time::timeout_at(until, inbox.recv()).await
+                tokio::time::timeout_at(until, event_receiver.recv()).await
             {
-                self.take(event).await;
+                self.handle_event(event).await;
             }
         }
     }
 
-    /// Milliseconds until the next look at the target.
-    fn look_ms(&self) -> u32 {
+    /// Returns the time until the next poll of the target, in milliseconds.
+    fn poll_interval_ms(&self) -> u32 {
         match self.swarm.is_calm() {
-            true => CALM_LOOK_MS,
-            false => BUSY_LOOK_MS,
+            true => IDLE_POLL_INTERVAL_MS,
+            false => BUSY_POLL_INTERVAL_MS,
         }
     }
 
-    /// Looks at the target, tells the entry hosts, and asks the store if
-    /// nobody else tells what it knows.
-    async fn look(&mut self) {
+    /// Polls the target, reports to the entry hosts, and queries the store if
+    /// no list of agents has arrived for long enough.
+    async fn poll_target(&mut self) {
         let state = self.platform.state().await;
         if let Some(state) = &state {
             self.log_notice(state.notice);
         }
         let state = state.unwrap_or_default();
-        self.take(Event::Target(state)).await;
-        self.take(Event::QueueDelay(self.reports.queue_ms())).await;
-        self.take(Event::Tick).await;
-        let look_ms = self.look_ms();
+        self.handle_event(Event::Target(state)).await;
+        self.handle_event(Event::QueueDelay(self.reports.queue_ms())).await;
+        self.handle_event(Event::Tick).await;
+        let poll_interval_ms = self.poll_interval_ms();
         let report = self.swarm.report();
-        self.reports.send_regularly(&report, look_ms).await;
-        if now_ms() > self.reports.last_list_ms() + self.unbriefed_ms {
-            self.store.ask();
+        self.reports.send_regular(&report, poll_interval_ms).await;
+        if now_ms() > self.reports.last_list_ms() + self.store_query_delay_ms {
+            self.store.start();
         }
     }
 
-    /// Writes what the target says of itself, once it says anything else.
+    /// Logs the changes of the target's notice.
     fn log_notice(&mut self, notice: TargetNotice) {
         let before = std::mem::replace(&mut self.notice, notice);
         let limit = notice.limit_per_s;
@@ -210,49 +216,56 @@
         }
     }
 
-    async fn take(&mut self, event: Event) {
+    async fn handle_event(&mut self, event: Event) {
         let mut effects = Vec::new();
         self.swarm.reduce(now_ms(), event, &mut effects);
         for effect in effects {
-            self.carry_out(effect).await;
+            self.execute(effect).await;
         }
     }
 
-    async fn carry_out(&mut self, effect: Effect) {
+    async fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Fetch { version, item, source, hops } => {
-                let asked_ms = now_ms();
-                let question = Question { version, item, hops, asked_ms };
+                let requested_ms = now_ms();
+                let request =
+                    ItemRequest { version, item, hops, requested_ms };
                 match source {
-                    Source::Peer(ip) => self.links.ask(ip, question),
-                    Source::Origin => self.ask_origin(version, item),
+                    Source::Peer(ip) => {
+                        self.peer_connections.request_item(ip, request)
+                    }
+                    Source::Origin => self.fetch_from_origin(version, item),
                 }
             }
             Effect::Answer { ticket, content } => {
                 self.server.answer(ticket, content);
             }
             Effect::ReadStaging => {
-                match self.known_model("tell its staging") {
+                match self.model_or_warn("list its staging") {
                     Some(model) => self.calls.read_staging(model),
-                    None => self.tell(Event::StagingRead { chunks: None }),
+                    None => {
+                        self.send_event(Event::StagingRead { chunks: None })
+                    }
                 }
             }
-            Effect::AskStart => match self.facts.health_path() {
-                Some(path) => self.calls.ask_start(path),
-                None => self.tell(Event::Start(TargetStart::Untold)),
+            Effect::AskStart => match self.service_info.health_path() {
+                Some(path) => self.calls.query_start(path),
+                None => self.send_event(Event::Start(TargetStart::Untold)),
             },
             Effect::Stage { version, chunks } => {
-                match self.known_model("stage chunks") {
+                match self.model_or_warn("stage chunks") {
                     Some(model) => self.calls.stage(model, version, chunks),
-                    None => self.refuse_staging(version),
+                    None => self.report_staging_failed(version),
                 }
             }
             Effect::Order { version, method, guard } => {
                 self.order(version, method, guard);
             }
             Effect::Report => {
-                let look_ms = self.look_ms();
-                self.reports.send_news(&self.swarm.report(), look_ms).await;
+                let poll_interval_ms = self.poll_interval_ms();
+                self.reports
+                    .send_change(&self.swarm.report(), poll_interval_ms)
+                    .await;
             }
             Effect::Log(event, detail) => {
                 logs::event(&self.name, event, &detail);
@@ -260,21 +273,21 @@
         }
     }
 
-    fn ask_origin(&self, version: u64, item: Item) {
-        match (self.facts.model(), self.facts.origin()) {
+    fn fetch_from_origin(&self, version: u64, item: Item) {
+        match (self.service_info.model(), self.service_info.origin()) {
             (Some(model), Some(origin)) => {
                 self.calls.fetch(origin, model, version, item);
             }
             _ => {
-                self.tell(Event::lost(version, item, Source::Origin));
+                self.send_event(Event::lost(version, item, Source::Origin));
             }
         }
     }
 
     fn order(&self, version: u64, method: LoadMethod, guard: OrderGuard) {
-        let Some(model) = self.known_model("load a version") else {
+        let Some(model) = self.model_or_warn("load a version") else {
             let outcome = OrderOutcome::Refused;
-            self.tell(Event::Ordered { guard, outcome });
+            self.send_event(Event::Ordered { guard, outcome });
             return;
         };
         let detail = format!(
@@ -285,48 +298,52 @@
         self.calls.order(model, version, method, guard);
     }
 
-    /// Tells the reducer that nothing was staged, so that it tries again.
-    fn refuse_staging(&self, version: u64) {
+    /// Reports to the reducer that nothing was staged, so that it tries again.
+    fn report_staging_failed(&self, version: u64) {
         let is_done = false;
-        self.tell(Event::Staged { version, is_done });
+        self.send_event(Event::Staged { version, is_done });
     }
 
-    /// Tells the reducer what came of an effect that needed no call.
-    fn tell(&self, event: Event) {
-        // The loop that takes events ends with the process only.
+    /// Sends the reducer the result of an effect that needed no call.
+    fn send_event(&self, event: Event) {
+        // The main loop, which receives events, only ends with the process.
         let _ = self.events.send(event);
     }
 
-    /// The target's model; a log line if nobody has told it yet.
-    fn known_model(&self, purpose: &str) -> Option<Name> {
-        let model = self.facts.model();
+    /// Returns the target's model; `None`, with a warning in the log, if it is
+    /// unknown.
+    fn model_or_warn(&self, purpose: &str) -> Option<Name> {
+        let model = self.service_info.model();
         if model.is_none() {
-            log::warn!("the target was not asked to {purpose}: no model yet");
+            log::warn!(
+                "cannot ask the target to {purpose}: its model is unknown"
+            );
         }
         model
     }
 }
 
-/// Starts asking the seeds for the first briefing.
-fn introduce(reports: &Reports, node: &NodeSettings, service: &str) {
+/// Starts to request the first briefing from the seeds.
+fn request_briefing(reports: &Reports, node: &NodeSettings, service: &str) {
     let seeds = node.seed_entry_hosts().collect();
     let ask = AskBriefing {
         service: service.to_string(),
         data_centre: node.data_centre.clone(),
     };
-    tokio::task::spawn_local(reports.clone().introduce(seeds, ask));
+    tokio::task::spawn_local(reports.clone().request_briefing(seeds, ask));
 }
 
-/// How long this agent waits for a list of agents, in milliseconds.
-fn unbriefed_ms() -> u64 {
-    UNBRIEFED_MS + rand::random_range(0..UNBRIEFED_SPREAD_MS)
+/// Returns the time without a list of agents after which this agent queries
+/// the store, in milliseconds.
+fn store_query_delay_ms() -> u64 {
+    MIN_STORE_QUERY_DELAY_MS + rand::random_range(0..STORE_QUERY_JITTER_MS)
 }
 
 fn swarm_config(file: &FleetFile) -> SwarmConfig {
     SwarmConfig {
         ip: file.node.ip,
         data_centre: Name::from(file.node.data_centre.as_str()),
-        parallel: PARALLEL,
+        parallel: MAX_PARALLEL_TRANSFERS,
         swap: SwapConfig {
             bound_ms: file.bounds.version_ms,
             ..SwapConfig::default()
--- a/crates/raildale/tests/slices.rs
+++ b/crates/raildale/tests/slices.rs
@@ -1,17 +1,17 @@
 //! How much of a chunk is on its way at once.
 
 use futures_util::FutureExt;
-use raildale::fleet::agent::answering::SliceWindow;
+use raildale::fleet::agent::answer_writer::SliceWindow;
 
 /// Whole chunks of a dozen senders stood in the queue of a link that was
 /// squeezed, and requests behind them for three seconds.
 #[test]
 fn two_slices_leave_until_one_has_come() {
     let window = SliceWindow::new();
-    let may_leave = || window.take().now_or_never().is_some();
+    let may_leave = || window.acquire().now_or_never().is_some();
     assert!(may_leave() && may_leave());
     assert!(!may_leave());
-    window.note_taken();
+    window.acknowledge();
     assert!(may_leave());
     assert!(!may_leave());
 }
@@ -19,8 +19,8 @@
 #[test]
 fn told_more_often_than_slices_left_it_opens_no_further() {
     let window = SliceWindow::new();
-    (0..10).for_each(|_| window.note_taken());
-    let left = (0..10).filter(|_| window.take().now_or_never().is_some());
+    (0..10).for_each(|_| window.acknowledge());
+    let left = (0..10).filter(|_| window.acquire().now_or_never().is_some());
     assert_eq!(left.count(), 2);
 }
 
@@ -29,6 +29,6 @@
 fn a_window_that_is_closed_holds_nobody() {
     let window = SliceWindow::new();
     window.close();
-    let left = (0..10).filter(|_| window.take().now_or_never().is_some());
+    let left = (0..10).filter(|_| window.acquire().now_or_never().is_some());
     assert_eq!(left.count(), 10);
 }
