--- a/crates/raildale/src/fleet/edge.rs
+++ b/crates/raildale/src/fleet/edge.rs
@@ -1,7 +1,7 @@
-//! What an adapter of a platform implements.
+//! The traits that the adapter of a platform implements.
 //!
-//! It translates and decides nothing: the platform's names and encodings end
-//! here.
+//! An adapter only translates between the platform's names and encodings,
+//! which are not used anywhere else, and makes no decisions.
 
 use std::{future::Future, net::SocketAddr};
 
@@ -25,26 +25,27 @@
 
 use crate::error::Error;
 
-/// Why a call of the store gave nothing.
+/// Why a call of the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFailure {
-    /// Nothing leads on from what is known: the history is gone, or the store
-    /// was restored meanwhile.
+    /// The changes since the given revision are not available: the history is
+    /// gone, or the store was restored meanwhile.
     HistoryGone,
-    /// Too many calls; nothing was done.
+    /// The store rejected the call because there are too many; nothing was
+    /// done.
     Busy,
-    /// The store says that nothing was done.
+    /// The store reported that nothing was done.
     Unavailable,
-    /// The connection broke, or the answer does not decode.
+    /// The connection broke, or the answer did not decode.
     Lost,
-    /// No answer in time.
+    /// No answer arrived in time.
     Silent,
 }
 
-/// Changes of a kind since an earlier one.
+/// The changes of a kind since an earlier stamp.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    /// The store's change up to which they lead.
+    /// The stamp of the store's change up to which they lead.
     pub stamp: Stamp,
     /// The changes, oldest first.
     pub changes: Vec<Change>,
@@ -52,15 +53,16 @@
 
 /// The platform's store of objects.
 pub trait Store {
-    /// All objects of a kind. A stale list may be seconds old and costs
-    /// less.
+    /// Returns all objects of a kind. A stale list, allowed by `is_stale_ok`,
+    /// may be seconds old and costs less.
     fn list(
         &self,
         kind: Kind,
         is_stale_ok: bool,
     ) -> impl Future<Output = Result<Snapshot, StoreFailure>>;
 
-    /// Waits up to `wait_ms` for changes after a revision.
+    /// Returns the changes after a revision, and waits up to `wait_ms` for
+    /// them.
     fn watch(
         &self,
         kind: Kind,
@@ -68,25 +70,25 @@
         wait_ms: u64,
     ) -> impl Future<Output = Result<Changes, StoreFailure>>;
 
-    /// Puts an entry host's own entry.
+    /// Writes an entry host's own entry.
     fn put_member(
         &self,
         entry: &MemberEntry,
     ) -> impl Future<Output = Result<(), StoreFailure>>;
 
-    /// Takes an entry host's entry away.
+    /// Deletes an entry host's entry.
     fn delete_member(
         &self,
         name: &str,
     ) -> impl Future<Output = Result<(), StoreFailure>>;
 
-    /// Puts the record of a request that ends its targets.
+    /// Writes the record of a request that ends its targets.
     fn put_quarantine(
         &self,
         record: &Record,
     ) -> impl Future<Output = Result<(), StoreFailure>>;
 
-    /// Takes such a record away.
+    /// Deletes such a record.
     fn delete_quarantine(
         &self,
         name: &str,
@@ -102,85 +104,87 @@
     pub version: u64,
 }
 
-/// What an answer's head tells.
+/// What an answer's head contains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
-    /// Whether it answers the try that was sent, not an earlier one.
+    /// Whether it answers the attempt that was sent, not an earlier one.
     pub is_own: bool,
-    /// Whether the target vouches for it.
+    /// Whether the target signed it.
     pub is_sealed: bool,
-    /// Whether the target says that it did not run the request.
+    /// Whether the target reports that it did not run the request.
     pub is_not_run: bool,
-    /// Whether another target, or another start of it, has the address.
+    /// Whether the address belongs to another target, or to another start of
+    /// the target.
     pub is_misdirected: bool,
-    /// Whether it is a stream of events.
+    /// Whether it is an event stream.
     pub is_event_stream: bool,
-    /// Whether its body is encoded on the way, which targets never do.
+    /// Whether its body has a content encoding, which targets never use.
     pub is_encoded: bool,
-    /// What the target says of itself.
+    /// The target's notice.
     pub notice: TargetNotice,
 }
 
-/// What goes with a request to a target.
+/// What is sent with a request to a target.
 #[derive(Clone, Debug)]
 pub struct SendTerms {
-    /// The target's id; another start of it must refuse.
+    /// The target's ID; another start of the target must refuse the request.
     pub target: Name,
-    /// Milliseconds that it has.
+    /// The time left for the request, in milliseconds.
     pub budget_ms: u64,
-    /// Who asks.
+    /// The organisation of the caller.
     pub organisation: Option<Name>,
-    /// The version that it must have, if any.
+    /// The version that the target must serve, if any.
     pub version: Option<u64>,
-    /// How urgent it is, 0 first.
+    /// The urgency of the request; 0 is the most urgent.
     pub urgency: u8,
-    /// The event after which a stream goes on.
+    /// The ID of the event after which a stream is resumed.
     pub resume_after: Option<String>,
 }
 
-/// A question for the addresses to use.
+/// A query for the addresses of entry hosts to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressQuery {
-    /// The data centre of whoever asks.
+    /// The data centre of the caller.
     pub data_centre: Name,
 }
 
 /// The platform's headers and encodings.
 pub trait Dialect {
-    /// Reads a request's head; `None` if it lacks what every request has.
+    /// Parses a request's head; `None` if it lacks what every request must
+    /// have.
     fn request_head(&self, head: &request::Parts) -> Option<RequestHead>;
 
-    /// The headers of a request towards a target.
+    /// Returns the headers of a request to a target.
     fn target_headers(
         &self,
         caller: &HeaderMap,
         terms: &SendTerms,
     ) -> HeaderMap;
 
-    /// Reads an answer's head.
+    /// Parses an answer's head.
     fn answer_head(
         &self,
         head: &response::Parts,
         request_id: &str,
     ) -> AnswerHead;
 
-    /// The headers of an answer that go to the caller.
+    /// Returns the headers of a target's answer that go to the caller.
     fn caller_headers(&self, target: &HeaderMap) -> HeaderMap;
 
-    /// The headers of an own refusal.
+    /// Returns the headers of a refusal by the entry host itself.
     fn refusal_headers(
         &self,
         request_id: &str,
         retry_after_ms: Option<u64>,
     ) -> HeaderMap;
 
-    /// Whether a readiness question stands at this path.
+    /// Whether a path is that of the readiness check.
     fn is_readiness_path(&self, path: &str) -> bool;
 
-    /// Reads a question for addresses; `None` if it is none.
+    /// Parses a query for addresses; `None` if the URI is not one.
     fn address_query(&self, uri: &hyper::Uri) -> Option<AddressQuery>;
 
-    /// The answer to a question for addresses.
+    /// Returns the body of the answer to a query for addresses.
     fn addresses(&self, addresses: &[SocketAddr], ttl_s: f64) -> Bytes;
 
     /// Decodes a configuration.
@@ -222,25 +226,25 @@
     ) -> Result<Record, Error>;
 }
 
-/// The target beside an agent.
+/// The target that an agent serves.
 pub trait WeightTarget {
-    /// What it tells of itself; `None` if it does not answer.
+    /// Returns its state; `None` if it does not answer.
     fn state(&self) -> impl Future<Output = Option<TargetState>>;
 
-    /// Which start of it is up, asked at the path of its health checks.
+    /// Returns which start of it is up, from the path of its health checks.
     fn start(&self, health_path: &str) -> impl Future<Output = TargetStart>;
 
-    /// Places of the chunks that lie staged; `None` if it does not answer.
+    /// Returns the indices of the staged chunks; `None` if it does not answer.
     fn staged(&self, model: &str) -> impl Future<Output = Option<Vec<u32>>>;
 
-    /// A staged chunk.
+    /// Returns a staged chunk; `None` if it could not be read.
     fn read_staged(
         &self,
         model: &str,
         index: u32,
     ) -> impl Future<Output = Option<Bytes>>;
 
-    /// Stages a chunk; says whether it lies there.
+    /// Stages a chunk. Returns whether it is staged.
     fn stage(
         &self,
         model: &str,
@@ -248,8 +252,8 @@
         data: Bytes,
     ) -> impl Future<Output = bool>;
 
-    /// Orders it to load what lies staged, in the state that `guard` tells
-    /// and no other; says what came of the order.
+    /// Orders it to load the staged chunks, in the state that `guard`
+    /// describes and no other. Returns the outcome of the order.
     fn load(
         &self,
         model: &str,
@@ -261,7 +265,8 @@
 
 /// The origin of weights.
 pub trait WeightOrigin {
-    /// The chunks' digests of a version.
+    /// Returns the digests of a version's chunks; `None` if they could not be
+    /// fetched.
     fn manifest(
         &self,
         origin: SocketAddr,
@@ -269,7 +274,8 @@
         version: u64,
     ) -> impl Future<Output = Option<Vec<WeightDigest>>>;
 
-    /// A chunk, unchecked.
+    /// Returns a chunk, without checking its digest; `None` if it could not be
+    /// fetched.
     fn chunk(
         &self,
         origin: SocketAddr,
--- a/crates/raildale/src/fleet/frames.rs
+++ b/crates/raildale/src/fleet/frames.rs
@@ -1,4 +1,5 @@
-//! Datagrams and frames between the processes of a fleet.
+//! Datagrams and frames between the processes of a fleet, and the options of
+//! their connections.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -12,31 +13,31 @@
     error::{Error, ErrorKind},
 };
 
-/// How long a connection may take to come up: four times the way between
-/// the farthest data centres, with a retransmission.
+/// The time-out for opening a connection: four times the delay between the
+/// farthest data centres, with a retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time after which unacknowledged bytes end a connection: a machine without
-/// power says nothing.
+/// How long sent bytes may stay unacknowledged until the connection ends: a
+/// machine without power sends nothing.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The same for callers' connections. There the time also runs while a caller
-/// acknowledges everything and takes in nothing, since it reads slowly: more
-/// than the pause of any caller that still wants its answer.
+/// The same for callers' connections. The time also runs while a slow caller
+/// acknowledges everything and reads nothing, so it must exceed the pause of
+/// any caller that still wants its answer.
 const CALLER_USER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time without a byte after which a peer is probed, and from probe to probe:
-/// the shortest that the system takes. The first one without an answer after
-/// the connection's own time-out ends it.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// The idle time after which a peer is probed, and the time between probes:
+/// the shortest that the system accepts. The first unanswered probe after the
+/// connection's user time-out ends it.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause after a connection could not be accepted: descriptors may have run
-/// out, and a loop without a pause would only burn the processor. The figure
-/// is an estimate.
+/// The pause after a failure to accept a connection: file descriptors may have
+/// run out, and a loop without a pause would only waste processor time. The
+/// value is an estimate.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Bytes of a datagram at most. Each agent takes 13 bytes of a briefing while
-/// versions are below 128, and 60 bytes of a digest.
+/// The maximum size of a datagram, in bytes. Each agent takes 13 bytes of a
+/// briefing while versions are below 128, and 60 bytes of a digest.
 const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 
 /// Encodes a datagram.
@@ -44,7 +45,7 @@
     Datagram { note: Some(note) }.encode_to_vec()
 }
 
-/// Receives datagrams of a socket, one after the other.
+/// Receives the datagrams of a socket.
 #[derive(Debug)]
 pub struct NoteReceiver {
     socket: Rc<UdpSocket>,
@@ -52,12 +53,13 @@
 }
 
 impl NoteReceiver {
-    /// A receiver of what comes to `socket`.
+    /// Creates a receiver of the datagrams that arrive at `socket`.
     pub fn new(socket: Rc<UdpSocket>) -> NoteReceiver {
         NoteReceiver { socket, buffer: vec![0; MAX_DATAGRAM_BYTES] }
     }
 
-    /// The next well-formed datagram, and who sent it.
+    /// Returns the next well-formed datagram and its sender. Others are logged
+    /// and skipped.
     pub async fn next(&mut self) -> (Note, SocketAddr) {
         loop {
             match self.socket.recv_from(&mut self.buffer).await {
@@ -78,7 +80,7 @@
     }
 }
 
-/// Encodes a frame without its length, for a sink that puts it in front.
+/// Encodes a frame without its length, for a sink that adds it.
 pub fn encode_body(body: FleetBody) -> Bytes {
     Bytes::from(FleetFrame { body: Some(body) }.encode_to_vec())
 }
@@ -105,38 +107,38 @@
         .ok_or(Error::new(ErrorKind::Frame, "no body"))
 }
 
-/// Opens a connection that notices a dead peer.
+/// Opens a connection that detects a dead peer.
 ///
 /// # Errors
 ///
-/// Why it does not come up, or that it does not in time.
+/// The error of the connection attempt, or that it timed out.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await??;
-    tune(&stream, USER_TIMEOUT);
+    set_socket_options(&stream, USER_TIMEOUT);
     Ok(stream)
 }
 
-/// The next connection of a process of the fleet that comes to `listener`,
-/// and who opened it.
+/// Accepts the next connection from a process of the fleet. Returns it with
+/// the peer's address.
 pub async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
-    accept_within(listener, USER_TIMEOUT).await
+    accept_with_timeout(listener, USER_TIMEOUT).await
 }
 
-/// The next connection of a caller that comes to `listener`, and who opened
-/// it.
+/// Accepts the next connection from a caller. Returns it with the peer's
+/// address.
 pub async fn accept_caller(listener: &TcpListener) -> (TcpStream, SocketAddr) {
-    accept_within(listener, CALLER_USER_TIMEOUT).await
+    accept_with_timeout(listener, CALLER_USER_TIMEOUT).await
 }
 
-async fn accept_within(
+async fn accept_with_timeout(
     listener: &TcpListener,
     user_timeout: Duration,
 ) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                tune(&stream, user_timeout);
+                set_socket_options(&stream, user_timeout);
                 return (stream, peer);
             }
             Err(error) => {
@@ -147,15 +149,15 @@
     }
 }
 
-/// Sets what every connection of a fleet has: small writes leave at once,
-/// and a silent peer ends it, also while nothing is to be sent: a request
-/// whose bytes were acknowledged before its connection fell silent would
-/// wait for its deadline.
-fn tune(stream: &TcpStream, user_timeout: Duration) {
+/// Sets the socket options of all connections of a fleet: small writes are
+/// sent at once, and a silent peer ends the connection even while nothing is
+/// to be sent. Otherwise a request whose bytes were acknowledged before its
+/// connection fell silent would wait for its deadline.
+fn set_socket_options(stream: &TcpStream, user_timeout: Duration) {
     let socket = socket2::SockRef::from(stream);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     let set = stream
         .set_nodelay(true)
         .and_then(|()| socket.set_tcp_user_timeout(Some(user_timeout)))
--- a/crates/raildale/src/fleet/settings.rs
+++ b/crates/raildale/src/fleet/settings.rs
@@ -1,7 +1,7 @@
-//! The settings file of a process in a fleet, TOML.
+//! The settings file of a process in a fleet, in TOML.
 //!
-//! Unknown fields are passed over: the file is filled in by a platform whose
-//! templates may be newer than the program.
+//! Unknown fields are ignored, because a platform fills in the file from
+//! templates that may be newer than the program.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -18,21 +18,21 @@
 /// The settings file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct FleetFile {
-    /// What every process is told.
+    /// The settings of every process.
     pub node: NodeSettings,
-    /// Where callers reach an entry host.
+    /// The addresses on which an entry host listens for callers.
     pub listen: Option<ListenSettings>,
-    /// The target beside an agent.
+    /// The target that an agent serves.
     pub target: Option<TargetSettings>,
     /// The platform's store.
     pub store: StoreSettings,
-    /// What the machine may use.
+    /// The machine's resources.
     pub machine: MachineSettings,
     /// Bounds that the platform's users set.
     pub bounds: BoundSettings,
 }
 
-/// What every process is told.
+/// The settings of every process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct NodeSettings {
     /// Its name, unique in the fleet.
@@ -41,31 +41,31 @@
     pub ip: IpAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// The ports for the system's own traffic, first and last.
+    /// The first and last port for the fleet's own traffic.
     pub ports: [u16; 2],
-    /// Entry hosts to begin with; they may be gone.
+    /// The entry hosts to contact first; they may be gone.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Loudness of the log: `error`, `warn`, `info`, `debug`.
+    /// The level of the log: `error`, `warn`, `info`, `debug`.
     #[serde(default = "default_log")]
     pub log: String,
 }
 
-/// Where callers reach an entry host.
+/// The addresses on which an entry host listens for callers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListenSettings {
-    /// Requests.
+    /// For requests.
     pub callers: SocketAddr,
-    /// Whether the entry host is ready.
+    /// For readiness checks.
     pub readiness: SocketAddr,
-    /// Which addresses to use.
+    /// For queries for the addresses of entry hosts.
     pub addresses: SocketAddr,
 }
 
-/// The target beside an agent.
+/// The target that an agent serves.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TargetSettings {
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
     /// Its service.
     pub service: String,
@@ -74,34 +74,36 @@
 /// The platform's store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
-/// What the machine may use.
+/// The machine's resources.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineSettings {
-    /// Its link's rate.
+    /// The rate of its link, in megabits per second.
     pub link_mbps: f64,
 }
 
 /// Bounds that the platform's users set.
 #[derive(Clone, Debug, Deserialize)]
 pub struct BoundSettings {
-    /// From the signal to stop until the process is killed, in seconds.
+    /// The time from the signal to stop until the process is killed, in
+    /// seconds.
     #[serde(default = "default_grace_s")]
     pub grace_s: f64,
-    /// Repeats for each request.
+    /// The number of retries allowed per request, as a ratio.
     #[serde(default = "default_retry_ratio")]
     pub retry_ratio: f64,
-    /// Repeats on top of these in any window.
+    /// The number of additional retries allowed in any window.
     #[serde(default = "default_retry_extra")]
     pub retry_extra: f64,
-    /// From naming a version until nothing older may start, in milliseconds;
-    /// 0 if there is no such bound.
+    /// The time from the naming of a version until nothing older may start, in
+    /// milliseconds; 0 if there is no such bound.
     #[serde(default)]
     pub version_ms: u64,
-    /// How long callers may keep the addresses at most, in seconds.
+    /// The maximum time that callers may cache the list of addresses, in
+    /// seconds.
     #[serde(default = "default_ttl_max_s")]
     pub ttl_max_s: f64,
 }
@@ -127,7 +129,7 @@
 }
 
 /// Bits in a megabit.
-const BITS_PER_MBIT: f64 = 1e6;
+const BITS_PER_MEGABIT: f64 = 1e6;
 
 impl FleetFile {
     /// Reads and checks a settings file.
@@ -148,7 +150,7 @@
         let [first, last] = self.node.ports;
         if first >= last {
             return Err(format!(
-                "node.ports: {first} to {last} leaves no two ports"
+                "node.ports: {first} to {last} must contain at least two ports"
             ));
         }
         if self.machine.link_mbps <= 0.0 {
@@ -162,26 +164,26 @@
         Ok(())
     }
 
-    /// Bytes a second of the machine's link.
+    /// Returns the rate of the machine's link, in bytes per second.
     pub fn link_bytes_per_s(&self) -> f64 {
-        self.machine.link_mbps * BITS_PER_MBIT / 8.0
+        self.machine.link_mbps * BITS_PER_MEGABIT / 8.0
     }
 }
 
 impl NodeSettings {
-    /// The port on which entry hosts talk.
+    /// Returns the port of the entry hosts' traffic.
     pub fn entry_port(&self) -> u16 {
         self.ports[0]
     }
 
-    /// Where the seeds listen for datagrams of the fleet: they are told by
-    /// another of their ports.
+    /// Returns the addresses on which the seeds listen for the fleet's
+    /// datagrams: the settings give them with another port.
     pub fn seed_entry_hosts(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let port = self.entry_port();
         self.seeds.iter().map(move |seed| SocketAddr::new(seed.ip(), port))
     }
 
-    /// The port on which agents talk.
+    /// Returns the port of the agents' traffic.
     pub fn agent_port(&self) -> u16 {
         self.ports[0] + 1
     }
