--- a/crates/raildale/tests/slices.rs
+++ b/crates/raildale/tests/slices.rs
@@ -1,34 +1,34 @@
-//! How much of a chunk is on its way at once.
+//! The number of slices of a connection that are in flight.
 
 use futures_util::FutureExt;
 use raildale::fleet::agent::answer_writer::SliceWindow;
 
-/// Whole chunks of a dozen senders stood in the queue of a link that was
-/// squeezed, and requests behind them for three seconds.
+/// With whole chunks in flight, those of a dozen senders filled the queue of a
+/// congested link, and requests behind them waited for three seconds.
 #[test]
-fn two_slices_leave_until_one_has_come() {
+fn two_slices_are_sent_until_one_is_acknowledged() {
     let window = SliceWindow::new();
-    let may_leave = || window.acquire().now_or_never().is_some();
-    assert!(may_leave() && may_leave());
-    assert!(!may_leave());
+    let may_send = || window.acquire().now_or_never().is_some();
+    assert!(may_send() && may_send());
+    assert!(!may_send());
     window.acknowledge();
-    assert!(may_leave());
-    assert!(!may_leave());
+    assert!(may_send());
+    assert!(!may_send());
 }
 
 #[test]
-fn told_more_often_than_slices_left_it_opens_no_further() {
+fn surplus_acknowledgements_do_not_widen_the_window() {
     let window = SliceWindow::new();
     (0..10).for_each(|_| window.acknowledge());
-    let left = (0..10).filter(|_| window.acquire().now_or_never().is_some());
-    assert_eq!(left.count(), 2);
+    let sent = (0..10).filter(|_| window.acquire().now_or_never().is_some());
+    assert_eq!(sent.count(), 2);
 }
 
-/// Nothing waits for the other side of a connection that has ended.
+/// Nothing waits for the peer of a connection that has ended.
 #[test]
-fn a_window_that_is_closed_holds_nobody() {
+fn a_closed_window_blocks_nothing() {
     let window = SliceWindow::new();
     window.close();
-    let left = (0..10).filter(|_| window.acquire().now_or_never().is_some());
-    assert_eq!(left.count(), 10);
+    let sent = (0..10).filter(|_| window.acquire().now_or_never().is_some());
+    assert_eq!(sent.count(), 10);
 }
