--- a/crates/raildale/src/fleet/edge.rs
+++ b/crates/raildale/src/fleet/edge.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
     /// Whether it answers the attempt that was sent, not an earlier one.
-    pub is_own: bool,
+    pub is_for_this_attempt: bool,
     /// Whether the target signed it.
     pub is_sealed: bool,
     /// Whether the target reports that it did not run the request.
--- a/crates/raildale/src/fleet/entry/proxy.rs
+++ b/crates/raildale/src/fleet/entry/proxy.rs
@@ -366,7 +366,8 @@
             let Ok(response) = sent else { return false };
             let (parts, ()) = response_head(response);
             let head = host.platform.answer_head(&parts, &id);
-            let counts = head.is_own && head.is_sealed && !head.is_encoded;
+            let counts =
+                head.is_for_this_attempt && head.is_sealed && !head.is_encoded;
             let has_run = !head.is_misdirected && !head.is_not_run;
             counts && has_run && !response.status().is_server_error()
         }
@@ -402,10 +403,10 @@
     fn head_rejection(&self, opened: &Opened<P>) -> Option<Outcome> {
         let (parts, ()) = response_head(&opened.response);
         let head = self.host.platform.answer_head(&parts, &self.head.id);
-        if head.is_own && !head.is_misdirected {
+        if head.is_for_this_attempt && !head.is_misdirected {
             self.host.record_notice(&opened.attempt, head.notice);
         }
-        if !head.is_own || head.is_encoded {
+        if !head.is_for_this_attempt || head.is_encoded {
             return Some(Outcome::Broken);
         }
         if head.is_misdirected {
