--- a/crates/raildale/src/fleet/edge.rs
+++ b/crates/raildale/src/fleet/edge.rs
@@ -110,7 +110,7 @@
     /// Whether it answers the attempt that was sent, not an earlier one.
     pub is_for_this_attempt: bool,
     /// Whether the target signed it.
-    pub is_sealed: bool,
+    pub is_signed: bool,
     /// Whether the target reports that it did not run the request.
     pub is_not_run: bool,
     /// Whether the address belongs to another target, or to another start of
--- a/crates/raildale/src/fleet/entry/proxy.rs
+++ b/crates/raildale/src/fleet/entry/proxy.rs
@@ -367,7 +367,7 @@
             let (parts, ()) = response_head(response);
             let head = host.platform.answer_head(&parts, &id);
             let counts =
-                head.is_for_this_attempt && head.is_sealed && !head.is_encoded;
+                head.is_for_this_attempt && head.is_signed && !head.is_encoded;
             let has_run = !head.is_misdirected && !head.is_not_run;
             counts && has_run && !response.status().is_server_error()
         }
@@ -415,7 +415,7 @@
         if head.is_not_run {
             return Some(Outcome::Refused);
         }
-        (!head.is_sealed).then_some(Outcome::Broken)
+        (!head.is_signed).then_some(Outcome::Broken)
     }
 
     /// Reads an answer that is not a stream. Returns `None` if it broke off
