--- a/crates/raildale/src/fleet/edge.rs
+++ b/crates/raildale/src/fleet/edge.rs
@@ -126,7 +126,7 @@
 
 /// What is sent with a request to a target.
 #[derive(Clone, Debug)]
-pub struct SendTerms {
+pub struct AttemptMetadata {
     /// The target's ID; another start of the target must refuse the request.
     pub target: Name,
     /// The time left for the request, in milliseconds.
@@ -158,7 +158,7 @@
     fn target_headers(
         &self,
         caller: &HeaderMap,
-        terms: &SendTerms,
+        terms: &AttemptMetadata,
     ) -> HeaderMap;
 
     /// Parses an answer's head.
--- a/crates/raildale/src/fleet/entry/proxy.rs
+++ b/crates/raildale/src/fleet/entry/proxy.rs
@@ -30,7 +30,7 @@
 };
 use crate::{
     fleet::{
-        edge::{Dialect, SendTerms, Store},
+        edge::{AttemptMetadata, Dialect, Store},
         steady_clock::now_ms,
     },
     request_body,
@@ -378,7 +378,7 @@
         dispatch: &Dispatch,
         resume_after: Option<&str>,
     ) -> Request<Full<Bytes>> {
-        let terms = SendTerms {
+        let terms = AttemptMetadata {
             target: dispatch.target.clone(),
             budget_ms: self.request.due_ms.saturating_sub(now_ms()),
             organisation: self
