--- a/crates/raildale/src/fleet/edge.rs
+++ b/crates/raildale/src/fleet/edge.rs
@@ -158,7 +158,7 @@
     fn target_headers(
         &self,
         caller: &HeaderMap,
-        terms: &AttemptMetadata,
+        metadata: &AttemptMetadata,
     ) -> HeaderMap;
 
     /// Parses an answer's head.
--- a/crates/raildale/src/fleet/entry/proxy.rs
+++ b/crates/raildale/src/fleet/entry/proxy.rs
@@ -378,7 +378,7 @@
         dispatch: &Dispatch,
         resume_after: Option<&str>,
     ) -> Request<Full<Bytes>> {
-        let terms = AttemptMetadata {
+        let metadata = AttemptMetadata {
             target: dispatch.target.clone(),
             budget_ms: self.request.due_ms.saturating_sub(now_ms()),
             organisation: self
@@ -394,7 +394,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() =
-            self.host.platform.target_headers(&self.headers, &terms);
+            self.host.platform.target_headers(&self.headers, &metadata);
         request
     }
 
