--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -378,7 +378,7 @@
         }
         let now = now_ms();
         let named_ms = match source {
-            // Its heartbeats contain the age.
+            // The other entry host's heartbeats contain the age.
             ChangeSource::EntryHost { .. } => now,
             ChangeSource::Store { is_continuous: true } => now,
             ChangeSource::Store { is_continuous: false } => {
