--- a/crates/raildale/src/fleet/agent/peer_connections.rs
+++ b/crates/raildale/src/fleet/agent/peer_connections.rs
@@ -25,7 +25,7 @@
 
 /// A request for an item.
 #[derive(Clone, Copy, Debug)]
-pub struct ItemRequest {
+pub struct ItemFetch {
     /// The version.
     pub version: u64,
     /// The item.
@@ -41,14 +41,14 @@
 pub struct PeerConnections {
     port: u16,
     events: mpsc::UnboundedSender<Event>,
-    senders: Rc<RefCell<HashMap<IpAddr, mpsc::UnboundedSender<ItemRequest>>>>,
+    senders: Rc<RefCell<HashMap<IpAddr, mpsc::UnboundedSender<ItemFetch>>>>,
     queue_delay: SharedQueueDelay,
 }
 
 /// A request that was sent, with the part of its answer that has arrived.
 #[derive(Debug)]
 struct PendingRequest {
-    request: ItemRequest,
+    request: ItemFetch,
     chunk: BytesMut,
 }
 
@@ -65,7 +65,7 @@
 
     /// Sends a request to another agent, over a new connection if there is
     /// none.
-    pub fn request_item(&self, ip: IpAddr, request: ItemRequest) {
+    pub fn request_item(&self, ip: IpAddr, request: ItemFetch) {
         let sender = self.senders.borrow().get(&ip).cloned();
         let sent = sender.is_some_and(|sender| sender.send(request).is_ok());
         if sent {
@@ -91,7 +91,7 @@
 /// reported as lost.
 async fn run_connection(
     address: SocketAddr,
-    mut requests: mpsc::UnboundedReceiver<ItemRequest>,
+    mut requests: mpsc::UnboundedReceiver<ItemFetch>,
     events: mpsc::UnboundedSender<Event>,
     queue_delay: SharedQueueDelay,
 ) {
@@ -128,7 +128,7 @@
 async fn exchange(
     address: SocketAddr,
     mut framed: Framed<TcpStream, LengthDelimitedCodec>,
-    requests: &mut mpsc::UnboundedReceiver<ItemRequest>,
+    requests: &mut mpsc::UnboundedReceiver<ItemFetch>,
     events: &mpsc::UnboundedSender<Event>,
     queue_delay: &SharedQueueDelay,
     pending: &mut HashMap<u64, PendingRequest>,
@@ -173,7 +173,7 @@
 fn assemble(
     pending: &mut HashMap<u64, PendingRequest>,
     reply: GiveItem,
-) -> Option<(ItemRequest, GiveItem)> {
+) -> Option<(ItemFetch, GiveItem)> {
     let entry = pending.get_mut(&reply.question)?;
     entry.chunk.extend(reply.chunk.iter().flatten());
     if reply.left_bytes > 0 {
@@ -188,7 +188,7 @@
     frames::encode_body(FleetBody::TookSlice(TookSlice {}))
 }
 
-fn request_frame(id: u64, request: ItemRequest) -> Bytes {
+fn request_frame(id: u64, request: ItemFetch) -> Bytes {
     let chunk = match request.item {
         Item::Manifest => None,
         Item::Chunk(index) => Some(index),
@@ -201,11 +201,7 @@
     }))
 }
 
-fn answer_event(
-    request: ItemRequest,
-    source: Source,
-    reply: GiveItem,
-) -> Event {
+fn answer_event(request: ItemFetch, source: Source, reply: GiveItem) -> Event {
     let version = request.version;
     match request.item {
         Item::Manifest => Event::Manifest {
@@ -230,7 +226,7 @@
 
 fn report_lost(
     address: SocketAddr,
-    request: ItemRequest,
+    request: ItemFetch,
     events: &mpsc::UnboundedSender<Event>,
 ) {
     let source = Source::Peer(address.ip());
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -19,7 +19,7 @@
 
 use super::{
     calls::WeightCalls,
-    peer_connections::{ItemRequest, PeerConnections},
+    peer_connections::{ItemFetch, PeerConnections},
     reports::{Reports, SharedQueueDelay},
     server::Server,
     service_info::ServiceInfo,
@@ -228,8 +228,7 @@
         match effect {
             Effect::Fetch { version, item, source, hops } => {
                 let requested_ms = now_ms();
-                let request =
-                    ItemRequest { version, item, hops, requested_ms };
+                let request = ItemFetch { version, item, hops, requested_ms };
                 match source {
                     Source::Peer(ip) => {
                         self.peer_connections.request_item(ip, request)
