--- a/crates/raildale-core/src/entry/attempts.rs
+++ b/crates/raildale-core/src/entry/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: what agents answer, and what becomes of one that went wrong.
 
 use super::{
-    Effect, Entry, Final,
+    Effect, Entry, FinalResponse,
     requests::{dispatch_body, soon},
 };
 use crate::{
@@ -61,7 +61,7 @@
             code if self.may_rerun(id) => {
                 self.retry(id, code, now_ms, effects)
             }
-            code => self.finish(id, Final::new(code), now_ms, effects),
+            code => self.finish(id, FinalResponse::new(code), now_ms, effects),
         }
         self.pump(now_ms, effects);
     }
@@ -100,9 +100,14 @@
         if !request.answer.matches(ended.length_bytes, &ended.digest) {
             let detail = ended.run_key.clone();
             effects.push(Effect::Log(LogEvent::AnswerMismatch, detail));
-            return self.finish(id, Final::new(Code::Cut), now_ms, effects);
+            return self.finish(
+                id,
+                FinalResponse::new(Code::Cut),
+                now_ms,
+                effects,
+            );
         }
-        let mut last = Final::new(Code::Done);
+        let mut last = FinalResponse::new(Code::Done);
         let answer = std::mem::take(&mut request.answer);
         if !request.submission.stream {
             last.answer = answer.into_bytes();
@@ -129,7 +134,12 @@
         let request = &self.requests[&id];
         if request.submission.stream && !request.answer.is_empty() {
             // The caller holds a part of an answer that nobody will end.
-            return self.finish(id, Final::new(Code::Cut), now_ms, effects);
+            return self.finish(
+                id,
+                FinalResponse::new(Code::Cut),
+                now_ms,
+                effects,
+            );
         }
         let is_over = request.key_is_held()
             || request.tried.len() >= MAX_TRIES
--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -150,7 +150,7 @@
 
 /// The last word to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Final {
+pub struct FinalResponse {
     /// The result.
     pub code: Code,
     /// The whole answer; empty if it was streamed or there is none.
@@ -163,10 +163,10 @@
     pub redirect: Option<String>,
 }
 
-impl Final {
+impl FinalResponse {
     /// A last word that is only a code.
-    pub fn new(code: Code) -> Final {
-        Final {
+    pub fn new(code: Code) -> FinalResponse {
+        FinalResponse {
             code,
             answer: vec![],
             run_key: None,
@@ -176,7 +176,10 @@
     }
 
     /// The same, with the time to come back.
-    pub fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Final {
+    pub fn with_retry_after_ms(
+        mut self,
+        retry_after_ms: u64,
+    ) -> FinalResponse {
         self.retry_after_ms = retry_after_ms;
         self
     }
@@ -194,7 +197,7 @@
     /// Send a piece of an answer on to the caller.
     Stream(u64, Vec<u8>),
     /// Answer a caller for good.
-    Finish(u64, Final),
+    Finish(u64, FinalResponse),
     /// Read a manifest from the origin.
     ReadManifest {
         /// The digest that it has to have.
@@ -673,7 +676,7 @@
             self.router.set_leaving(&agent);
             effects.push(Effect::ToAgent(agent, Body::Drain(Drain {})));
         }
-        effects.push(Effect::Finish(request, Final::new(code)));
+        effects.push(Effect::Finish(request, FinalResponse::new(code)));
     }
 
     fn leave(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -1,6 +1,6 @@
 //! Requests at an entry host, from submission to the last word.
 
-use super::{Effect, Entry, Final};
+use super::{Effect, Entry, FinalResponse};
 use crate::{
     Code, Digest, LogEvent, Name, Ran,
     message::{Body, Cancel, Dispatch},
@@ -53,7 +53,7 @@
         request: u64,
         submission: Submission,
         now_ms: u64,
-    ) -> Result<(), Final> {
+    ) -> Result<(), FinalResponse> {
         self.refuse_if_leaving()?;
         let (organisation, model) =
             self.authorise(&submission.key_hash, &submission.model, now_ms)?;
@@ -73,7 +73,7 @@
         }
         self.refuse_if_hopeless(&model, priority, budget_ms, now_ms)?;
         self.admit(&organisation, now_ms).map_err(|(code, wait_ms)| {
-            Final::new(code).with_retry_after_ms(wait_ms)
+            FinalResponse::new(code).with_retry_after_ms(wait_ms)
         })?;
         let mut submission = submission;
         submission.max_tokens =
@@ -97,14 +97,14 @@
         Ok(())
     }
 
-    pub(super) fn refuse_if_leaving(&self) -> Result<(), Final> {
+    pub(super) fn refuse_if_leaving(&self) -> Result<(), FinalResponse> {
         if !self.is_leaving() {
             return Ok(());
         }
         let Some(other) = self.ranked_addresses().into_iter().next() else {
             return Err(soon(Code::NoTarget));
         };
-        let mut last = Final::new(Code::Leaving);
+        let mut last = FinalResponse::new(Code::Leaving);
         last.redirect = Some(other.address);
         Err(last)
     }
@@ -116,16 +116,16 @@
         key_hash: &Digest,
         model: &str,
         now_ms: u64,
-    ) -> Result<(Name, Name), Final> {
+    ) -> Result<(Name, Name), FinalResponse> {
         if !self.may_serve(now_ms) {
             return Err(soon(Code::NoTarget));
         }
         let organisation = self
             .organisation_of(key_hash)
-            .ok_or(Final::new(Code::Unauthorised))?;
+            .ok_or(FinalResponse::new(Code::Unauthorised))?;
         let path = format!("{organisation}/{model}");
         if self.tree.model(&path).is_none() {
-            return Err(Final::new(Code::NotFound));
+            return Err(FinalResponse::new(Code::NotFound));
         }
         Ok((organisation.clone(), path.into()))
     }
@@ -138,7 +138,7 @@
         priority: Priority,
         budget_ms: u64,
         now_ms: u64,
-    ) -> Result<(), Final> {
+    ) -> Result<(), FinalResponse> {
         let Some(pace) = self.paces.get(model) else { return Ok(()) };
         let ahead = self.queues.ahead_of(priority, model);
         if ahead == 0 {
@@ -149,7 +149,7 @@
         if wait_ms + pace.service_ms <= budget_ms {
             return Ok(());
         }
-        let last = Final::new(Code::DeadlineHopeless);
+        let last = FinalResponse::new(Code::DeadlineHopeless);
         Err(last.with_retry_after_ms(wait_ms.max(SOON_MS)))
     }
 
@@ -265,7 +265,7 @@
             }
             Stage::Sent { .. } | Stage::Detached { .. } => {
                 self.cancel_attempt(id, effects);
-                let last = Final::new(Code::DeadlinePassed);
+                let last = FinalResponse::new(Code::DeadlinePassed);
                 self.finish(id, last, now_ms, effects);
             }
         }
@@ -310,7 +310,12 @@
     ) {
         if self.requests.contains_key(&id) {
             self.cancel_attempt(id, effects);
-            self.finish(id, Final::new(Code::Cancelled), now_ms, effects);
+            self.finish(
+                id,
+                FinalResponse::new(Code::Cancelled),
+                now_ms,
+                effects,
+            );
         }
     }
 
@@ -319,7 +324,7 @@
     pub(super) fn finish(
         &mut self,
         id: u64,
-        mut last: Final,
+        mut last: FinalResponse,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
@@ -332,7 +337,7 @@
     pub(super) fn finish_as(
         &mut self,
         id: u64,
-        mut last: Final,
+        mut last: FinalResponse,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
@@ -391,6 +396,6 @@
     }
 }
 
-pub(super) fn soon(code: Code) -> Final {
-    Final::new(code).with_retry_after_ms(SOON_MS)
+pub(super) fn soon(code: Code) -> FinalResponse {
+    FinalResponse::new(code).with_retry_after_ms(SOON_MS)
 }
--- a/crates/raildale-core/src/entry/run_keys.rs
+++ b/crates/raildale-core/src/entry/run_keys.rs
@@ -1,6 +1,6 @@
 //! Run keys at an entry host: issuing them, and asking what became of one.
 
-use super::{Effect, Entry, Final, requests::soon};
+use super::{Effect, Entry, FinalResponse, requests::soon};
 use crate::{
     Code, Digest, Name,
     message::{Body, Known, Query},
@@ -25,10 +25,10 @@
         &self,
         submission: &Submission,
         organisation: &Name,
-    ) -> Result<Option<Name>, Final> {
+    ) -> Result<Option<Name>, FinalResponse> {
         let Some(text) = &submission.run_key else { return Ok(None) };
         RunKey::parse(text, &self.config.cluster_key, organisation)
-            .ok_or(Final::new(Code::RunKeyInvalid))?;
+            .ok_or(FinalResponse::new(Code::RunKeyInvalid))?;
         Ok(Some(text.as_str().into()))
     }
 
@@ -90,7 +90,7 @@
         key_hash: &Digest,
         model: &str,
         now_ms: u64,
-    ) -> Result<Final, Final> {
+    ) -> Result<FinalResponse, FinalResponse> {
         self.refuse_if_leaving()?;
         let (organisation, model) = self.authorise(key_hash, model, now_ms)?;
         let agent = self
@@ -107,7 +107,7 @@
             expires_ms: now_ms + rules.run_key_ttl_ms.value,
         };
         let text = key.to_text(&self.config.cluster_key, &organisation);
-        let mut last = Final::new(Code::Accepted);
+        let mut last = FinalResponse::new(Code::Accepted);
         last.run_key = Some(text.into());
         Ok(last)
     }
@@ -124,7 +124,7 @@
         let agent = match self.ask_target(&key_hash, text) {
             Ok(agent) => agent,
             Err(code) => {
-                let mut last = Final::new(code);
+                let mut last = FinalResponse::new(code);
                 last.run_key = Some(text.into());
                 effects.push(Effect::Finish(request, last));
                 return;
@@ -155,7 +155,7 @@
     pub(super) fn known(&mut self, known: Known, effects: &mut Vec<Effect>) {
         let Some(ask) = self.asks.remove(&known.ask) else { return };
         let code = Code::from_number(known.code).unwrap_or(Code::Unknown);
-        let mut last = Final::new(code);
+        let mut last = FinalResponse::new(code);
         last.answer = known.answer;
         last.run_key = Some(ask.run_key);
         effects.push(Effect::Finish(known.ask, last));
--- a/crates/raildale-core/tests/request_runs.rs
+++ b/crates/raildale-core/tests/request_runs.rs
@@ -6,7 +6,7 @@
 
 use raildale_core::{
     Code, Digest, Name, Ran, agent,
-    entry::{self, Final},
+    entry::{self, FinalResponse},
     request::{admission::Priority, dispatch::Submission},
 };
 use rand::RngExt;
@@ -252,7 +252,7 @@
     seed: u64,
     caller: &Caller,
     runs: u64,
-    last: &Final,
+    last: &FinalResponse,
     streamed: &[u8],
 ) {
     let mark = &caller.mark;
--- a/crates/raildale-core/tests/world/mod.rs
+++ b/crates/raildale-core/tests/world/mod.rs
@@ -14,7 +14,7 @@
 use raildale_core::{
     Code, Digest, Manifest, Name,
     agent::{self, Agent, AgentConfig, Fence, RunOrder, Scheme},
-    entry::{self, Entry, EntryConfig, Final},
+    entry::{self, Entry, EntryConfig, FinalResponse},
     message::{Body, Identity},
     request::{ledger::LedgerConfig, routing::Policy, run_key::ClusterKey},
     settings::{Tree, tree},
@@ -131,7 +131,7 @@
     pub origin_fetches: u64,
     pub trees: BTreeMap<u64, Tree>,
     pub runs: BTreeMap<String, u64>,
-    pub finals: BTreeMap<u64, (Final, Vec<u8>)>,
+    pub finals: BTreeMap<u64, (FinalResponse, Vec<u8>)>,
     pub streams: BTreeMap<u64, Vec<u8>>,
     pub corrupt_percent: u32,
     pub duplicate_percent: u32,
--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -6,7 +6,7 @@
 
 use raildale_core::{
     Code, Digest, LogEvent, Name,
-    entry::{Effect, Entry, EntryConfig, Event, Final},
+    entry::{Effect, Entry, EntryConfig, Event, FinalResponse},
     message::{Body, Entries, Identity, PeerAddress},
     request::{routing::Policy, run_key::ClusterKey},
     spread::tracker::TrackerConfig,
@@ -71,7 +71,7 @@
     /// A piece of a streamed answer.
     Piece(Vec<u8>),
     /// The last word.
-    Last(Final),
+    Last(FinalResponse),
 }
 
 /// Runs the entry host until it is told to leave and has nothing in progress.
@@ -411,7 +411,7 @@
         }
     }
 
-    fn finish(&mut self, request: u64, last: Final) {
+    fn finish(&mut self, request: u64, last: FinalResponse) {
         let label = format!("code=\"{}\"", last.code.number());
         self.metrics.add("answers_total", &label, 1);
         if let Some(reply) = self.replies.remove(&request) {
--- a/crates/raildale/src/http_api/answers.rs
+++ b/crates/raildale/src/http_api/answers.rs
@@ -6,7 +6,7 @@
     hyper::{Response, StatusCode},
 };
 use http_body_util::{BodyExt, Full};
-use raildale_core::{Code, entry::Final};
+use raildale_core::{Code, entry::FinalResponse};
 use serde_json::{Value, json};
 
 /// A whole answer as JSON.
@@ -35,7 +35,7 @@
 }
 
 /// The last word on a request.
-pub(super) fn last(last: &Final) -> Response<Body> {
+pub(super) fn last(last: &FinalResponse) -> Response<Body> {
     let value = last_value(last);
     let mut response = answer(last.code.http_status(), &value);
     let headers = response.headers_mut();
@@ -54,7 +54,7 @@
 }
 
 /// The last word as JSON, also the last line of a streamed answer.
-pub(super) fn last_value(last: &Final) -> Value {
+pub(super) fn last_value(last: &FinalResponse) -> Value {
     json!({
         "code": last.code.number(),
         "ran": last.code.ran().word(),
--- a/crates/raildale/src/http_api/mod.rs
+++ b/crates/raildale/src/http_api/mod.rs
@@ -124,7 +124,7 @@
             // The process stops; what it knew is gone with it.
             None => {
                 self.is_over = true;
-                Reply::Last(raildale_core::entry::Final::new(GONE))
+                Reply::Last(raildale_core::entry::FinalResponse::new(GONE))
             }
         }
     }
