--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -127,7 +127,7 @@
         model: Name,
     },
     /// A caller asks what became of a run key.
-    AskRun {
+    QueryRun {
         /// The request's number.
         request: u64,
         /// BLAKE3 of the caller's key.
@@ -324,7 +324,7 @@
             Event::IssueKey { request, key_hash, model } => {
                 self.issue_key(request, key_hash, &model, now_ms, effects)
             }
-            Event::AskRun { request, key_hash, run_key, revoke } => self
+            Event::QueryRun { request, key_hash, run_key, revoke } => self
                 .ask_run(request, key_hash, &run_key, revoke, now_ms, effects),
             Event::DrainAgent { request, agent } => {
                 self.drain_agent(request, agent, effects)
--- a/crates/raildale-core/tests/request_runs.rs
+++ b/crates/raildale-core/tests/request_runs.rs
@@ -385,7 +385,7 @@
     for seed in seeds(8) {
         let mut load = Load::new(seed);
         let key = load.fetch_key();
-        let revoke = entry::Event::AskRun {
+        let revoke = entry::Event::QueryRun {
             request: 1_002,
             key_hash: Digest::of(KEY),
             run_key: key.to_string(),
@@ -457,7 +457,7 @@
         };
         load.send(&mut caller);
         load.world.run(30);
-        let stop = entry::Event::AskRun {
+        let stop = entry::Event::QueryRun {
             request: 1_002,
             key_hash: Digest::of(KEY),
             run_key: key.to_string(),
--- a/crates/raildale/src/http_api/callers.rs
+++ b/crates/raildale/src/http_api/callers.rs
@@ -129,7 +129,7 @@
         return Ok((state, answers::coded(Code::Unauthorised, "")));
     };
     let run_key = NamePath::take_from(&mut state).name;
-    let call = api.call(|request| Event::AskRun {
+    let call = api.call(|request| Event::QueryRun {
         request,
         key_hash,
         run_key,
