--- a/crates/raildale-core/src/entry/attempts.rs
+++ b/crates/raildale-core/src/entry/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: what agents answer, and what becomes of one that went wrong.
+//! Attempts: handling of agents' answers, failures and reconnects.
 
 use super::{
     Effect, Entry, FinalResponse,
-    requests::{dispatch_body, soon},
+    requests::{dispatch_body, retry_soon},
 };
 use crate::{
     Code, LogEvent, Name, Ran,
@@ -14,21 +14,25 @@
     },
 };
 
-/// Targets that one request is tried at.
-const MAX_TRIES: usize = 4;
+/// The maximum number of attempts for one request.
+const MAX_ATTEMPTS: usize = 4;
 
-/// How long a request waits for its agent's connection to come back.
-const REJOIN_MS: u64 = 1_000;
+/// How long a request waits for the connection to its agent to come back.
+const REJOIN_TIMEOUT_MS: u64 = 1_000;
 
 impl Entry {
-    pub(super) fn piece(&mut self, piece: Piece, effects: &mut Vec<Effect>) {
-        let Some(id) = self.attempts.get(&piece.attempt) else {
-            return late(&piece.run_key, effects);
+    pub(super) fn on_piece(
+        &mut self,
+        piece: Piece,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(id) = self.requests_by_attempt.get(&piece.attempt) else {
+            return log_late_answer(&piece.run_key, effects);
         };
         let id = *id;
         let request = self.requests.get_mut(&id).expect("it is listed");
         if request.run_key.as_deref() != Some(piece.run_key.as_str()) {
-            return late(&piece.run_key, effects);
+            return log_late_answer(&piece.run_key, effects);
         }
         let new = request.answer.take(&piece);
         if request.submission.stream && !new.is_empty() {
@@ -36,37 +40,38 @@
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_ended(
         &mut self,
         agent: &Name,
         ended: Ended,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(id) = self.attempts.get(&ended.attempt).copied() else {
-            return late(&ended.run_key, effects);
+        let Some(id) = self.requests_by_attempt.get(&ended.attempt).copied()
+        else {
+            return log_late_answer(&ended.run_key, effects);
         };
         let request = &self.requests[&id];
         if request.run_key.as_deref() != Some(ended.run_key.as_str()) {
-            return late(&ended.run_key, effects);
+            return log_late_answer(&ended.run_key, effects);
         }
         let code = Code::from_number(ended.code).unwrap_or(Code::Unknown);
-        self.attempts.remove(&ended.attempt);
-        self.observe(id, agent, code, now_ms, effects);
+        self.requests_by_attempt.remove(&ended.attempt);
+        self.record_outcome(id, agent, code, now_ms, effects);
         match code {
-            Code::Done => self.done(id, &ended, now_ms, effects),
+            Code::Done => self.on_done(id, &ended, now_ms, effects),
             code if code.ran() == Ran::NotRun => {
-                self.refused_by_target(id, code, now_ms, effects)
+                self.on_not_run(id, code, now_ms, effects)
             }
             code if self.may_rerun(id) => {
                 self.retry(id, code, now_ms, effects)
             }
             code => self.finish(id, FinalResponse::new(code), now_ms, effects),
         }
-        self.pump(now_ms, effects);
+        self.dispatch_queued(now_ms, effects);
     }
 
-    pub(super) fn observe(
+    pub(super) fn record_outcome(
         &mut self,
         id: u64,
         agent: &Name,
@@ -78,8 +83,9 @@
         if let (Stage::Sent { since_ms, .. }, Code::Done) =
             (&request.stage, code)
         {
-            let pace = self.paces.entry(request.model.clone()).or_default();
-            pace.observe(now_ms.saturating_sub(*since_ms));
+            let service_time =
+                self.service_times.entry(request.model.clone()).or_default();
+            service_time.record(now_ms.saturating_sub(*since_ms));
         }
         let worked =
             !matches!(code, Code::Cut | Code::Unknown | Code::TargetRefused);
@@ -89,7 +95,7 @@
         }
     }
 
-    pub(super) fn done(
+    pub(super) fn on_done(
         &mut self,
         id: u64,
         ended: &Ended,
@@ -107,17 +113,18 @@
                 effects,
             );
         }
-        let mut last = FinalResponse::new(Code::Done);
+        let mut response = FinalResponse::new(Code::Done);
         let answer = std::mem::take(&mut request.answer);
         if !request.submission.stream {
-            last.answer = answer.into_bytes();
+            response.answer = answer.into_bytes();
         }
-        self.finish(id, last, now_ms, effects);
+        self.finish(id, response, now_ms, effects);
     }
 
-    /// The agent proved that this attempt did not run. It goes back to its
-    /// queue under a fresh key, unless the caller's own key pins it.
-    pub(super) fn refused_by_target(
+    /// Handles an attempt that provably did not run. The request is queued
+    /// again and gets a new run key, unless the caller's own key pins it to
+    /// this agent.
+    pub(super) fn on_not_run(
         &mut self,
         id: u64,
         code: Code,
@@ -133,7 +140,8 @@
         }
         let request = &self.requests[&id];
         if request.submission.stream && !request.answer.is_empty() {
-            // The caller holds a part of an answer that nobody will end.
+            // The caller has received part of an answer that will not be
+            // completed.
             return self.finish(
                 id,
                 FinalResponse::new(Code::Cut),
@@ -141,23 +149,29 @@
                 effects,
             );
         }
-        let is_over = request.key_is_held()
-            || request.tried.len() >= MAX_TRIES
+        let is_final = request.key_is_held()
+            || request.tried.len() >= MAX_ATTEMPTS
             || now_ms >= request.deadline_ms;
-        if is_over {
-            return self.finish_as(id, soon(code), now_ms, effects);
+        if is_final {
+            return self.finish_with_exact_code(
+                id,
+                retry_soon(code),
+                now_ms,
+                effects,
+            );
         }
         self.requeue(id);
     }
 
-    /// Whether a request whose attempt may have run may run again: it says
-    /// so itself, and the caller has seen nothing of the answer.
+    /// Returns whether a request whose attempt may have run may run again: it
+    /// is marked as repeatable, its run key is not held by the caller, no
+    /// part of the answer was streamed, and attempts are left.
     pub(super) fn may_rerun(&self, id: u64) -> bool {
         let request = &self.requests[&id];
         request.submission.repeatable
             && !request.key_is_held()
             && (!request.submission.stream || request.answer.is_empty())
-            && request.tried.len() < MAX_TRIES
+            && request.tried.len() < MAX_ATTEMPTS
     }
 
     pub(super) fn retry(
@@ -174,7 +188,7 @@
         if in_time && self.spend_retry(&organisation) {
             return self.requeue(id);
         }
-        self.finish(id, soon(code), now_ms, effects);
+        self.finish(id, retry_soon(code), now_ms, effects);
     }
 
     pub(super) fn requeue(&mut self, id: u64) {
@@ -187,8 +201,9 @@
         self.queues.push(priority, &organisation, waiting);
     }
 
-    /// An agent's connection is lost. What may run again goes elsewhere;
-    /// what may not waits a moment for the same ledger to come back.
+    /// Handles the loss of an agent's connection. Requests that may run again
+    /// are retried; the others wait up to [`REJOIN_TIMEOUT_MS`] for the same
+    /// agent, whose ledger knows their outcome.
     pub(super) fn detach_runs(
         &mut self,
         agent: &Name,
@@ -205,21 +220,22 @@
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
-            self.attempts.remove(&self.requests[&id].attempt);
+            self.requests_by_attempt.remove(&self.requests[&id].attempt);
             if self.may_rerun(id) {
                 self.retry(id, Code::Unknown, now_ms, effects);
                 continue;
             }
-            let until_ms = now_ms + REJOIN_MS;
+            let until_ms = now_ms + REJOIN_TIMEOUT_MS;
             let request = self.requests.get_mut(&id).expect("it is listed");
             request.stage = Stage::Detached { agent: agent.clone(), until_ms };
         }
-        self.pump(now_ms, effects);
+        self.dispatch_queued(now_ms, effects);
     }
 
-    /// An agent is back. In the same incarnation, its ledger knows what
-    /// became of each key: dispatching again joins the run, replays its
-    /// answer, or starts what never arrived. In another, nobody knows.
+    /// Handles the reconnect of an agent. In the same incarnation, its ledger
+    /// knows the outcome of each key: dispatching again joins the run,
+    /// replays its answer, or starts a run that never arrived. In another
+    /// incarnation, the outcome is unknown.
     pub(super) fn rejoin_runs(
         &mut self,
         agent: &Name,
@@ -262,13 +278,13 @@
         request.stage = Stage::Sent { agent: agent.clone(), since_ms: now_ms };
         let prefix = request.submission.prefix;
         let body = dispatch_body(request, now_ms);
-        self.attempts.insert(attempt, id);
+        self.requests_by_attempt.insert(attempt, id);
         self.router.sent(agent, prefix);
         effects.push(Effect::ToAgent(agent.clone(), body));
     }
 }
 
-fn late(run_key: &str, effects: &mut Vec<Effect>) {
+fn log_late_answer(run_key: &str, effects: &mut Vec<Effect>) {
     let detail = run_key.to_string();
     effects.push(Effect::Log(LogEvent::LateAnswer, detail));
 }
--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -1,8 +1,8 @@
 //! The entry host's reducer.
 //!
-//! All entry hosts are equal. Each answers callers and operators, admits and
-//! routes requests, tracks the spreads that rendezvous hashing gives it, and
-//! passes settings on. Nothing here outlives the process.
+//! All entry hosts have the same role. Each one serves callers and operators,
+//! admits and routes requests, tracks the spreads that rendezvous hashing
+//! assigns to it, and relays settings. Its state is kept in memory only.
 
 mod attempts;
 mod requests;
@@ -29,95 +29,98 @@
 };
 
 use self::{
-    requests::ModelPace, run_keys::Ask, shares::Limits, trackers::Spread,
+    requests::ServiceTime, run_keys::PendingQuery, shares::Limits,
+    trackers::Spread,
 };
 
-/// How often an entry host tells others that it is here.
-const HEARTBEAT_EVERY_MS: u64 = 500;
+/// The interval between heartbeats to other entry hosts and to agents.
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// An entry host that was silent for so long counts as gone.
-const SILENT_MS: u64 = 2_000;
+/// The time without a message after which an entry host is considered down.
+const SILENCE_TIMEOUT_MS: u64 = 2_000;
 
-/// How long a starting entry host listens for settings newer than the first
-/// it hears, before it serves.
-const LISTEN_MS: u64 = 700;
+/// How long an entry host that has seeds waits after its start to hear of
+/// newer settings from other entry hosts before it serves.
+const STARTUP_LISTEN_MS: u64 = 700;
 
-/// How long a leaving entry host stays to redirect callers that hold its
-/// address. Twice what [`WHERE_TTL_MS`] lets them keep it.
+/// How long a leaving entry host keeps running to redirect callers that still
+/// hold its address. Twice [`WHERE_TTL_MS`], the time for which callers may
+/// cache the address.
 const LINGER_MS: u64 = 2_000;
 
-/// How long callers may keep the answer of `where`.
+/// How long callers may cache the response of `where`.
 pub const WHERE_TTL_MS: u64 = 1_000;
 
-/// What an entry host is told at its start.
+/// The configuration of an entry host at its start.
 #[derive(Clone, Debug)]
 pub struct EntryConfig {
-    /// Its name.
+    /// The entry host's name.
     pub name: Name,
-    /// A number that differs at each start.
+    /// A number that differs at each start of the process.
     pub incarnation: u64,
-    /// Its data centre.
+    /// The entry host's data centre.
     pub data_centre: Name,
-    /// Where callers reach it.
+    /// The address at which callers reach the entry host.
     pub http_address: String,
-    /// Where agents and other entry hosts reach it.
+    /// The address at which agents and other entry hosts reach it.
     pub address: String,
-    /// The cluster's key.
+    /// The cluster's key, which authenticates run keys.
     pub cluster_key: ClusterKey,
-    /// Bounds of the trackers it owns.
+    /// The limits of the trackers that this entry host runs.
     pub tracker: TrackerConfig,
-    /// How targets are picked.
+    /// The policy by which targets are picked.
     pub policy: Policy,
-    /// Whether it was told of other entry hosts, and so has to hear one
-    /// before it trusts a first reading of the platform.
+    /// Whether other entry hosts were configured. If so, the entry host does
+    /// not serve settings that it read from the platform until it has heard
+    /// a peer's revision or has waited for its start-up period.
     pub has_seeds: bool,
-    /// Seed of its random choices.
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
-/// What happened, as an entry host hears it.
+/// An input of the entry host's reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed. About every 20 ms.
+    /// Time has passed. Sent about every 20 ms.
     Tick,
     /// An agent connected.
     AgentUp(Identity),
-    /// An agent's connection is down.
+    /// The connection to an agent is down.
     AgentDown(Name),
-    /// An agent said something.
+    /// An agent sent a message.
     FromAgent(Name, Body),
     /// The connection that this process dialled to an entry host is up.
     EntryUp(Identity),
-    /// It is down.
+    /// The connection to an entry host is down.
     EntryDown(Name),
-    /// Another entry host said something.
+    /// Another entry host sent a message.
     FromEntry(Name, Body),
     /// Settings were read, from the platform or from a message.
     Settings {
-        /// Their revision.
+        /// The revision of the settings.
         revision: u64,
-        /// Their text.
+        /// The TOML text of the settings.
         text: Name,
-        /// Their meaning.
+        /// The parsed settings.
         tree: Box<Tree>,
     },
-    /// The origin gave a manifest, or did not.
+    /// The result of an [`Effect::ReadManifest`].
     ManifestRead {
-        /// The digest that was asked for.
+        /// The requested digest.
         digest: Digest,
-        /// What came.
+        /// The manifest; `None` if the origin did not return one.
         manifest: Option<Manifest>,
     },
     /// A caller submits a request.
     Submit {
-        /// Its number, from the shell.
+        /// The request's number, assigned by the shell.
         request: u64,
-        /// What is asked for.
+        /// The request itself.
         submission: Box<Submission>,
     },
-    /// The caller of a request went away.
+    /// The caller of this request disconnected.
     CallerGone(u64),
-    /// A caller wants a run key.
+    /// A caller requests a run key.
     IssueKey {
         /// The request's number.
         request: u64,
@@ -126,7 +129,7 @@
         /// The model's name.
         model: Name,
     },
-    /// A caller asks what became of a run key.
+    /// A caller queries the outcome of a run key.
     QueryRun {
         /// The request's number.
         request: u64,
@@ -134,37 +137,37 @@
         key_hash: Digest,
         /// The run key's text.
         run_key: String,
-        /// Whether a key that has not run is to be barred.
+        /// Whether to bar the key from running if it has not run yet.
         revoke: bool,
     },
-    /// An operator tells an agent to leave.
+    /// An operator drains an agent.
     DrainAgent {
         /// The request's number.
         request: u64,
         /// The agent.
         agent: Name,
     },
-    /// The process is told to leave.
+    /// The process is to shut down.
     Leave,
 }
 
-/// The last word to a caller.
+/// The response that completes a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalResponse {
-    /// The result.
+    /// The result code.
     pub code: Code,
-    /// The whole answer; empty if it was streamed or there is none.
+    /// The complete answer; empty if it was streamed or there is none.
     pub answer: Vec<u8>,
     /// The run key, if the request has one.
     pub run_key: Option<Name>,
-    /// When to come back; 0 if there is no use in it.
+    /// The time after which the caller may retry; 0 if it should not.
     pub retry_after_ms: u64,
-    /// For [`Code::Leaving`]: whom to ask.
+    /// The address of another entry host, for [`Code::Leaving`].
     pub redirect: Option<String>,
 }
 
 impl FinalResponse {
-    /// A last word that is only a code.
+    /// Returns a response that carries only a code.
     pub fn new(code: Code) -> FinalResponse {
         FinalResponse {
             code,
@@ -175,7 +178,7 @@
         }
     }
 
-    /// The same, with the time to come back.
+    /// Sets the time after which the caller may retry.
     pub fn with_retry_after_ms(
         mut self,
         retry_after_ms: u64,
@@ -185,35 +188,35 @@
     }
 }
 
-/// What an entry host wants done.
+/// An output of the entry host's reducer, which the shell carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Say something to an agent.
+    /// Send a message to an agent.
     ToAgent(Name, Body),
-    /// Say something to another entry host.
+    /// Send a message to another entry host.
     ToEntry(Name, Body),
-    /// Keep a connection to another entry host.
+    /// Connect to another entry host and keep the connection up.
     DialEntry(PeerAddress),
-    /// Send a piece of an answer on to the caller.
+    /// Forward a piece of an answer to the caller of a request.
     Stream(u64, Vec<u8>),
-    /// Answer a caller for good.
+    /// Complete a caller's request.
     Finish(u64, FinalResponse),
     /// Read a manifest from the origin.
     ReadManifest {
-        /// The digest that it has to have.
+        /// The digest that the manifest must have.
         digest: Digest,
-        /// Where the origin keeps it.
+        /// The manifest's path at the origin.
         origin_path: String,
     },
-    /// Watch the platform's settings, or no longer.
+    /// Start (`true`) or stop (`false`) watching the platform's settings.
     Watch(bool),
-    /// Nothing is in progress and the process was told to leave.
+    /// Stop the process: it is leaving and no request is in progress.
     Stop,
     /// Write a log line.
     Log(LogEvent, String),
 }
 
-/// Another entry host.
+/// What is known of another entry host.
 #[derive(Debug)]
 struct Peer {
     identity: Identity,
@@ -221,10 +224,10 @@
     is_up: bool,
     leaving: bool,
     revision: u64,
-    heard_ms: u64,
+    last_heard_ms: u64,
 }
 
-/// The entry host's state.
+/// The state of an entry host.
 #[derive(Debug)]
 pub struct Entry {
     config: EntryConfig,
@@ -233,7 +236,7 @@
     revision: RevisionGate,
     text: Name,
     tree: Tree,
-    callers: BTreeMap<Digest, Name>,
+    organisations_by_key: BTreeMap<Digest, Name>,
     watching: bool,
     peers: BTreeMap<Name, Peer>,
     agents: BTreeMap<Name, Identity>,
@@ -242,20 +245,20 @@
     router: Router,
     queues: Queues,
     requests: BTreeMap<u64, Request>,
-    attempts: BTreeMap<u64, u64>,
+    requests_by_attempt: BTreeMap<u64, u64>,
     deadlines: BTreeSet<(u64, u64)>,
-    asks: BTreeMap<u64, Ask>,
-    paces: BTreeMap<Name, ModelPace>,
+    pending_queries: BTreeMap<u64, PendingQuery>,
+    service_times: BTreeMap<Name, ServiceTime>,
     limits: BTreeMap<Name, Limits>,
     shares: shares::Shares,
     spreads: BTreeMap<Digest, Spread>,
     next_serial: u64,
-    left_ms: Option<u64>,
-    beat_ms: u64,
+    leaving_since_ms: Option<u64>,
+    heartbeat_sent_ms: u64,
 }
 
 impl Entry {
-    /// An entry host that has heard of nothing.
+    /// Returns an entry host without settings, peers and agents.
     pub fn new(config: EntryConfig, now_ms: u64) -> Entry {
         Entry {
             rng: SmallRng::seed_from_u64(config.seed),
@@ -263,7 +266,7 @@
             revision: RevisionGate::new(),
             text: "".into(),
             tree: Tree::default(),
-            callers: BTreeMap::new(),
+            organisations_by_key: BTreeMap::new(),
             watching: false,
             peers: BTreeMap::new(),
             agents: BTreeMap::new(),
@@ -272,21 +275,21 @@
             router: Router::new(config.policy, config.data_centre.clone()),
             queues: Queues::new(),
             requests: BTreeMap::new(),
-            attempts: BTreeMap::new(),
+            requests_by_attempt: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            asks: BTreeMap::new(),
-            paces: BTreeMap::new(),
+            pending_queries: BTreeMap::new(),
+            service_times: BTreeMap::new(),
             limits: BTreeMap::new(),
             shares: shares::Shares::default(),
             spreads: BTreeMap::new(),
             next_serial: 1,
-            left_ms: None,
-            beat_ms: 0,
+            leaving_since_ms: None,
+            heartbeat_sent_ms: 0,
             config,
         }
     }
 
-    /// Takes an event in and pushes what is to be done.
+    /// Handles an event and appends the resulting effects.
     pub fn reduce(
         &mut self,
         now_ms: u64,
@@ -296,36 +299,40 @@
         match event {
             Event::Tick => self.tick(now_ms, effects),
             Event::AgentUp(identity) => {
-                self.agent_up(identity, now_ms, effects)
+                self.on_agent_up(identity, now_ms, effects)
+            }
+            Event::AgentDown(name) => {
+                self.on_agent_down(&name, now_ms, effects)
             }
-            Event::AgentDown(name) => self.agent_down(&name, now_ms, effects),
             Event::FromAgent(name, body) => {
-                self.heard_agent(name, body, now_ms, effects)
+                self.handle_agent_message(name, body, now_ms, effects)
             }
             Event::EntryUp(identity) => {
-                self.entry_up(identity, now_ms, effects)
+                self.on_entry_up(identity, now_ms, effects)
             }
-            Event::EntryDown(name) => self.entry_down(&name, effects),
+            Event::EntryDown(name) => self.on_entry_down(&name, effects),
             Event::FromEntry(name, body) => {
-                self.heard_entry(name, body, now_ms, effects)
+                self.handle_entry_message(name, body, now_ms, effects)
             }
             Event::Settings { revision, text, tree } => {
                 self.offer_settings(revision, text, *tree, effects)
             }
             Event::ManifestRead { digest, manifest } => {
-                self.manifest_read(digest, manifest, now_ms, effects)
+                self.on_manifest_read(digest, manifest, now_ms, effects)
             }
             Event::Submit { request, submission } => {
                 self.submit(request, *submission, now_ms, effects)
             }
             Event::CallerGone(request) => {
-                self.caller_gone(request, now_ms, effects)
+                self.on_caller_gone(request, now_ms, effects)
             }
             Event::IssueKey { request, key_hash, model } => {
                 self.issue_key(request, key_hash, &model, now_ms, effects)
             }
             Event::QueryRun { request, key_hash, run_key, revoke } => self
-                .ask_run(request, key_hash, &run_key, revoke, now_ms, effects),
+                .query_run(
+                    request, key_hash, &run_key, revoke, now_ms, effects,
+                ),
             Event::DrainAgent { request, agent } => {
                 self.drain_agent(request, agent, effects)
             }
@@ -333,60 +340,60 @@
         }
     }
 
-    /// The settings' revision in force.
+    /// Returns the settings' revision in force; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.revision.in_force()
     }
 
-    /// The settings' text in force.
+    /// Returns the text of the settings in force.
     pub fn settings_text(&self) -> &Name {
         &self.text
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// The targets as this entry host sees them.
+    /// Returns the router, which holds the targets known here.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// The revision in force at each agent, as last reported.
+    /// Returns the last reported settings revision of each agent.
     pub fn agent_revisions(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.agent_revisions.iter().map(|(name, revision)| (name, *revision))
     }
 
-    /// The revision in force at each other entry host, as last heard.
+    /// Returns the last reported settings revision of each other entry host.
     pub fn entry_revisions(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.peers.iter().map(|(name, peer)| (name, peer.revision))
     }
 
-    /// How far each agent is with its versions.
+    /// Returns the last reported progress of each agent's downloads.
     pub fn progress(
         &self,
     ) -> impl Iterator<Item = (&Name, &[crate::message::Progress])> {
         self.progress.iter().map(|(name, rows)| (name, rows.as_slice()))
     }
 
-    /// Who the agents are.
+    /// Returns the identities of the connected agents.
     pub fn agents(&self) -> impl Iterator<Item = &Identity> {
         self.agents.values()
     }
 
-    /// Requests that are not answered yet.
+    /// Returns the number of requests that are not complete.
     pub fn in_progress(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether it takes no new work.
+    /// Returns whether this entry host is leaving and takes no new work.
     pub fn is_leaving(&self) -> bool {
-        self.left_ms.is_some()
+        self.leaving_since_ms.is_some()
     }
 
-    /// Callers' addresses of the entry hosts that take new work, nearest
-    /// first, with each one's name.
+    /// Returns the name and HTTP address of each entry host that takes new
+    /// work, those of this data centre first.
     pub fn ranked_addresses(&self) -> Vec<PeerAddress> {
         let mut ranked = vec![];
         if !self.is_leaving() {
@@ -412,28 +419,29 @@
     }
 
     fn tick(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
-        self.suspect_silent(now_ms, effects);
+        self.mark_silent_entries_down(now_ms, effects);
         self.choose_watchers(effects);
         self.tick_trackers(now_ms, effects);
         self.tick_requests(now_ms, effects);
-        if now_ms >= self.beat_ms + HEARTBEAT_EVERY_MS {
-            self.beat_ms = now_ms;
-            self.beat(effects);
-            self.ask_shares(now_ms, effects);
+        if now_ms >= self.heartbeat_sent_ms + HEARTBEAT_INTERVAL_MS {
+            self.heartbeat_sent_ms = now_ms;
+            self.broadcast_heartbeat(effects);
+            self.request_shares(now_ms, effects);
         }
         self.stop_if_done(now_ms, effects);
     }
 
-    fn agent_up(
+    fn on_agent_up(
         &mut self,
         identity: Identity,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         let name: Name = identity.name.as_str().into();
-        // A new connection may come before the old one is known to be dead.
+        // A new connection may come up before the loss of the previous one is
+        // detected.
         if self.agents.contains_key(&name) {
-            self.agent_down(&name, now_ms, effects);
+            self.on_agent_down(&name, now_ms, effects);
         }
         let incarnation = identity.incarnation;
         let data_centre = identity.data_centre.as_str().into();
@@ -446,7 +454,7 @@
         self.rejoin_runs(&name, incarnation, now_ms, effects);
     }
 
-    fn agent_down(
+    fn on_agent_down(
         &mut self,
         name: &Name,
         now_ms: u64,
@@ -460,7 +468,7 @@
         self.detach_runs(name, now_ms, effects);
     }
 
-    fn heard_agent(
+    fn handle_agent_message(
         &mut self,
         agent: Name,
         body: Body,
@@ -481,21 +489,23 @@
                     .insert(agent.clone(), report.settings_revision);
                 self.router.report(&agent, &report);
                 self.progress.insert(agent, report.progress);
-                self.pump(now_ms, effects);
+                self.dispatch_queued(now_ms, effects);
             }
-            Body::Join(join) => self.join(agent, join, now_ms, effects),
-            Body::Part(part) => self.part(&agent, part, now_ms, effects),
+            Body::Join(join) => self.on_join(agent, join, now_ms, effects),
+            Body::Part(part) => self.on_part(&agent, part, now_ms, effects),
             Body::Obtained(obtained) => {
-                self.obtained(&agent, obtained, now_ms, effects)
+                self.on_obtained(&agent, obtained, now_ms, effects)
+            }
+            Body::Piece(piece) => self.on_piece(piece, effects),
+            Body::Ended(ended) => {
+                self.on_ended(&agent, ended, now_ms, effects)
             }
-            Body::Piece(piece) => self.piece(piece, effects),
-            Body::Ended(ended) => self.ended(&agent, ended, now_ms, effects),
-            Body::Known(known) => self.known(known, effects),
-            _ => misplaced(&agent, effects),
+            Body::Known(known) => self.on_known(known, effects),
+            _ => log_misplaced_frame(&agent, effects),
         }
     }
 
-    fn entry_up(
+    fn on_entry_up(
         &mut self,
         identity: Identity,
         now_ms: u64,
@@ -508,97 +518,108 @@
             is_up: true,
             leaving: false,
             revision: 0,
-            heard_ms: now_ms,
+            last_heard_ms: now_ms,
         };
         self.peers.insert(name.clone(), peer);
         effects.push(Effect::ToEntry(name, self.heartbeat()));
-        self.tell_entries(effects);
+        self.broadcast_entries(effects);
     }
 
-    fn entry_down(&mut self, name: &Name, effects: &mut Vec<Effect>) {
+    fn on_entry_down(&mut self, name: &Name, effects: &mut Vec<Effect>) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.is_linked = false;
             peer.is_up = false;
         }
-        self.tell_entries(effects);
+        self.broadcast_entries(effects);
     }
 
-    fn heard_entry(
+    fn handle_entry_message(
         &mut self,
         entry: Name,
         body: Body,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        self.heard_from(&entry, now_ms, effects);
+        self.record_entry_contact(&entry, now_ms, effects);
         match body {
-            Body::Heartbeat(beat) => self.heard_beat(&entry, beat, effects),
+            Body::Heartbeat(beat) => {
+                self.handle_entry_heartbeat(&entry, beat, effects)
+            }
             Body::SettingsAsk(_) => {
                 let settings = self.settings_body();
                 effects
                     .extend(settings.map(|body| Effect::ToEntry(entry, body)));
             }
-            Body::Entries(entries) => self.learn_entries(entries, effects),
+            Body::Entries(entries) => self.dial_new_entries(entries, effects),
             Body::ShareAsk(ask) => {
-                self.share_asked(entry, ask, now_ms, effects)
+                self.on_share_ask(entry, ask, now_ms, effects)
             }
-            Body::ShareLease(lease) => self.share_leased(&lease, now_ms),
-            _ => misplaced(&entry, effects),
+            Body::ShareLease(lease) => self.on_share_lease(&lease, now_ms),
+            _ => log_misplaced_frame(&entry, effects),
         }
     }
 
-    /// A peer that was silent for a while, frozen or cut off, is back as soon
-    /// as it speaks.
-    fn heard_from(
+    /// Records that a message came from a peer. A peer that was marked down
+    /// for its silence (a frozen process, a cut link) is up again.
+    fn record_entry_contact(
         &mut self,
         entry: &Name,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         let Some(peer) = self.peers.get_mut(entry) else { return };
-        peer.heard_ms = now_ms;
+        peer.last_heard_ms = now_ms;
         if peer.is_linked && !peer.is_up {
             peer.is_up = true;
-            self.tell_entries(effects);
+            self.broadcast_entries(effects);
         }
     }
 
-    fn heard_beat(
+    fn handle_entry_heartbeat(
         &mut self,
         entry: &Name,
         beat: Heartbeat,
         effects: &mut Vec<Effect>,
     ) {
         let Some(peer) = self.peers.get_mut(entry) else { return };
-        let began_to_leave = beat.leaving && !peer.leaving;
+        let has_started_leaving = beat.leaving && !peer.leaving;
         peer.leaving = beat.leaving;
         peer.revision = beat.settings_revision;
         if beat.settings_revision > self.revision.in_force() {
-            self.ask_settings(entry.clone(), effects);
+            self.request_settings(entry.clone(), effects);
         }
-        if began_to_leave {
-            self.tell_entries(effects);
+        if has_started_leaving {
+            self.broadcast_entries(effects);
         }
     }
 
-    /// An entry host that has said nothing for long is not named to callers
-    /// or agents, although its connection may still stand: a frozen process
-    /// or a cut link closes nothing.
-    fn suspect_silent(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
+    /// Marks entry hosts down that have been silent for
+    /// [`SILENCE_TIMEOUT_MS`], so that callers and agents are not directed to
+    /// them. Their connections may still be open: a frozen process or a cut
+    /// link does not close them.
+    fn mark_silent_entries_down(
+        &mut self,
+        now_ms: u64,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut has_changed = false;
         for peer in self.peers.values_mut() {
-            let is_heard = now_ms < peer.heard_ms + SILENT_MS;
+            let is_heard = now_ms < peer.last_heard_ms + SILENCE_TIMEOUT_MS;
             if peer.is_up && !is_heard {
                 peer.is_up = false;
                 has_changed = true;
             }
         }
         if has_changed {
-            self.tell_entries(effects);
+            self.broadcast_entries(effects);
         }
     }
 
-    fn learn_entries(&mut self, entries: Entries, effects: &mut Vec<Effect>) {
+    fn dial_new_entries(
+        &mut self,
+        entries: Entries,
+        effects: &mut Vec<Effect>,
+    ) {
         for entry in entries.entries {
             let is_new = !self.peers.contains_key(entry.name.as_str())
                 && *entry.name != *self.config.name;
@@ -608,8 +629,9 @@
         }
     }
 
-    /// Tells agents, and entry hosts that may not know, who is here.
-    fn tell_entries(&self, effects: &mut Vec<Effect>) {
+    /// Sends the list of entry hosts to all agents and to the entry hosts
+    /// that are up.
+    fn broadcast_entries(&self, effects: &mut Vec<Effect>) {
         let body = Body::Entries(self.entries_body());
         for agent in self.agents.keys() {
             effects.push(Effect::ToAgent(agent.clone(), body.clone()));
@@ -619,7 +641,8 @@
         }
     }
 
-    /// The entry hosts that take new work, with the addresses for processes.
+    /// Returns the entry hosts that take new work, with the addresses that
+    /// agents and entry hosts connect to.
     fn entries_body(&self) -> Entries {
         let own = PeerAddress {
             name: self.config.name.to_string(),
@@ -637,7 +660,8 @@
         Entries { entries: own.into_iter().chain(others).collect() }
     }
 
-    /// The names of the entry hosts that take new work, this one included.
+    /// Returns the names of the entry hosts that take new work, including
+    /// this one unless it is leaving.
     fn live_entries(&self) -> Vec<Name> {
         let others = self
             .peers
@@ -655,7 +679,7 @@
         })
     }
 
-    fn beat(&self, effects: &mut Vec<Effect>) {
+    fn broadcast_heartbeat(&self, effects: &mut Vec<Effect>) {
         for name in self.peers.keys() {
             effects.push(Effect::ToEntry(name.clone(), self.heartbeat()));
         }
@@ -680,20 +704,20 @@
     }
 
     fn leave(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
-        if self.left_ms.is_some() {
+        if self.leaving_since_ms.is_some() {
             return;
         }
-        self.left_ms = Some(now_ms);
+        self.leaving_since_ms = Some(now_ms);
         effects.push(Effect::Log(LogEvent::Stopping, String::new()));
         effects.push(Effect::Watch(false));
         self.watching = false;
-        self.beat(effects);
-        self.tell_entries(effects);
+        self.broadcast_heartbeat(effects);
+        self.broadcast_entries(effects);
     }
 
     fn stop_if_done(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
-        let is_done = self.left_ms.is_some_and(|left_ms| {
-            now_ms >= left_ms + LINGER_MS && self.requests.is_empty()
+        let is_done = self.leaving_since_ms.is_some_and(|leaving_since_ms| {
+            now_ms >= leaving_since_ms + LINGER_MS && self.requests.is_empty()
         });
         if is_done {
             effects.push(Effect::Stop);
@@ -701,6 +725,6 @@
     }
 }
 
-fn misplaced(from: &Name, effects: &mut Vec<Effect>) {
+fn log_misplaced_frame(from: &Name, effects: &mut Vec<Effect>) {
     effects.push(Effect::Log(LogEvent::BadFrame, from.to_string()));
 }
--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at an entry host, from submission to the last word.
+//! Requests at an entry host, from submission to the final response.
 
 use super::{Effect, Entry, FinalResponse};
 use crate::{
@@ -10,21 +10,22 @@
     },
 };
 
-/// When to come back after a refusal that a moment may cure.
-const SOON_MS: u64 = 200;
+/// The retry delay given to callers after a refusal for a temporary cause.
+const RETRY_SOON_MS: u64 = 200;
 
-/// How long a model's requests take, as this entry host has seen.
+/// The moving average of the time that a model's requests take at targets, as
+/// seen by this entry host; 0 before the first one.
 #[derive(Debug, Default)]
-pub(super) struct ModelPace {
-    service_ms: u64,
+pub(super) struct ServiceTime {
+    average_ms: u64,
 }
 
-impl ModelPace {
-    pub(super) fn observe(&mut self, took_ms: u64) {
-        self.service_ms = if self.service_ms == 0 {
+impl ServiceTime {
+    pub(super) fn record(&mut self, took_ms: u64) {
+        self.average_ms = if self.average_ms == 0 {
             took_ms
         } else {
-            (self.service_ms * 7 + took_ms) / 8
+            (self.average_ms * 7 + took_ms) / 8
         };
     }
 }
@@ -39,15 +40,16 @@
     ) {
         let is_held = submission.run_key.is_some();
         match self.accept(request, submission, now_ms) {
-            Ok(()) => self.pump(now_ms, effects),
-            Err(mut last) => {
-                last.code = honest(last.code, is_held);
-                effects.push(Effect::Finish(request, last));
+            Ok(()) => self.dispatch_queued(now_ms, effects),
+            Err(mut response) => {
+                response.code = code_for_held_key(response.code, is_held);
+                effects.push(Effect::Finish(request, response));
             }
         }
     }
 
-    /// Everything that may refuse a request before it waits in a queue.
+    /// Checks a request and queues it, or returns the response with which it
+    /// is refused.
     pub(super) fn accept(
         &mut self,
         request: u64,
@@ -64,12 +66,12 @@
             .min(rules.deadline_ms.value.max(1));
         let pinned = self.check_run_key(&submission, &organisation)?;
         if !self.router.serves(&model, now_ms) && pinned.is_none() {
-            return Err(soon(Code::NoTarget));
+            return Err(retry_soon(Code::NoTarget));
         }
         let priority = submission.priority;
         let waiting = self.queues.len_of(priority, &organisation) as u64;
         if waiting >= rules.queue_places.value {
-            return Err(soon(Code::QueueFull));
+            return Err(retry_soon(Code::QueueFull));
         }
         self.refuse_if_hopeless(&model, priority, budget_ms, now_ms)?;
         self.admit(&organisation, now_ms).map_err(|(code, wait_ms)| {
@@ -102,15 +104,16 @@
             return Ok(());
         }
         let Some(other) = self.ranked_addresses().into_iter().next() else {
-            return Err(soon(Code::NoTarget));
+            return Err(retry_soon(Code::NoTarget));
         };
-        let mut last = FinalResponse::new(Code::Leaving);
-        last.redirect = Some(other.address);
-        Err(last)
+        let mut response = FinalResponse::new(Code::Leaving);
+        response.redirect = Some(other.address);
+        Err(response)
     }
 
-    /// The caller's organisation, and the full name of its model. Another
-    /// organisation's model and an absent one give the same answer.
+    /// Returns the caller's organisation and the model's full name,
+    /// `organisation/model`. A model of another organisation gives the same
+    /// error as one that does not exist.
     pub(super) fn authorise(
         &self,
         key_hash: &Digest,
@@ -118,7 +121,7 @@
         now_ms: u64,
     ) -> Result<(Name, Name), FinalResponse> {
         if !self.may_serve(now_ms) {
-            return Err(soon(Code::NoTarget));
+            return Err(retry_soon(Code::NoTarget));
         }
         let organisation = self
             .organisation_of(key_hash)
@@ -130,8 +133,9 @@
         Ok((organisation.clone(), path.into()))
     }
 
-    /// Refuses what would only wait in vain: everything ahead of it, at the
-    /// pace seen so far, takes longer than the caller waits.
+    /// Refuses a request that would miss its deadline: at the average service
+    /// time, the requests ahead of it and the request itself take longer than
+    /// `budget_ms`.
     pub(super) fn refuse_if_hopeless(
         &self,
         model: &Name,
@@ -139,22 +143,28 @@
         budget_ms: u64,
         now_ms: u64,
     ) -> Result<(), FinalResponse> {
-        let Some(pace) = self.paces.get(model) else { return Ok(()) };
+        let Some(service_time) = self.service_times.get(model) else {
+            return Ok(());
+        };
         let ahead = self.queues.ahead_of(priority, model);
         if ahead == 0 {
             return Ok(());
         }
         let capacity = self.router.capacity(model, now_ms).max(1);
-        let wait_ms = ahead * pace.service_ms / capacity;
-        if wait_ms + pace.service_ms <= budget_ms {
+        let wait_ms = ahead * service_time.average_ms / capacity;
+        if wait_ms + service_time.average_ms <= budget_ms {
             return Ok(());
         }
-        let last = FinalResponse::new(Code::DeadlineHopeless);
-        Err(last.with_retry_after_ms(wait_ms.max(SOON_MS)))
+        let response = FinalResponse::new(Code::DeadlineHopeless);
+        Err(response.with_retry_after_ms(wait_ms.max(RETRY_SOON_MS)))
     }
 
-    /// Sends on as many waiting requests as there is room for.
-    pub(super) fn pump(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
+    /// Sends as many queued requests to targets as there is room for.
+    pub(super) fn dispatch_queued(
+        &mut self,
+        now_ms: u64,
+        effects: &mut Vec<Effect>,
+    ) {
         loop {
             let router = &self.router;
             let requests = &self.requests;
@@ -191,7 +201,7 @@
         };
         match target {
             Ok(agent) => self.send_to(id, agent, now_ms, effects),
-            Err(code) => self.finish(id, soon(code), now_ms, effects),
+            Err(code) => self.finish(id, retry_soon(code), now_ms, effects),
         }
     }
 
@@ -204,7 +214,7 @@
     ) {
         let key = match self.requests[&id].key_is_held() {
             true => self.requests[&id].run_key.clone().expect("it is held"),
-            false => self.mint(id, &agent),
+            false => self.mint_run_key(id, &agent),
         };
         let attempt = self.next_serial();
         let request = self.requests.get_mut(&id).expect("it is listed");
@@ -214,7 +224,7 @@
         request.stage = Stage::Sent { agent: agent.clone(), since_ms: now_ms };
         let prefix = request.submission.prefix;
         let body = dispatch_body(request, now_ms);
-        self.attempts.insert(attempt, id);
+        self.requests_by_attempt.insert(attempt, id);
         self.router.sent(&agent, prefix);
         effects.push(Effect::ToAgent(agent, body));
     }
@@ -228,9 +238,9 @@
             if deadline_ms > now_ms {
                 break;
             }
-            self.deadline_passed(id, now_ms, effects);
+            self.on_deadline_passed(id, now_ms, effects);
         }
-        let given_up: Vec<u64> = self
+        let rejoin_expired: Vec<u64> = self
             .requests
             .iter()
             .filter(|(_, request)| {
@@ -239,14 +249,14 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        for id in given_up {
+        for id in rejoin_expired {
             self.finish_unknown(id, now_ms, effects);
         }
-        self.tick_asks(now_ms, effects);
-        self.pump(now_ms, effects);
+        self.tick_queries(now_ms, effects);
+        self.dispatch_queued(now_ms, effects);
     }
 
-    pub(super) fn deadline_passed(
+    pub(super) fn on_deadline_passed(
         &mut self,
         id: u64,
         now_ms: u64,
@@ -254,19 +264,19 @@
     ) {
         let request = &self.requests[&id];
         match &request.stage {
-            // Nothing of the current key was sent, and every earlier attempt
-            // was proved not to have run or may run twice.
+            // Nothing was sent under the current key, and each earlier
+            // attempt provably did not run or may run twice.
             Stage::Queued => {
                 let code = match request.key_is_held() {
                     true => Code::Unknown,
                     false => Code::DeadlineHopeless,
                 };
-                self.finish(id, soon(code), now_ms, effects);
+                self.finish(id, retry_soon(code), now_ms, effects);
             }
             Stage::Sent { .. } | Stage::Detached { .. } => {
                 self.cancel_attempt(id, effects);
-                let last = FinalResponse::new(Code::DeadlinePassed);
-                self.finish(id, last, now_ms, effects);
+                let response = FinalResponse::new(Code::DeadlinePassed);
+                self.finish(id, response, now_ms, effects);
             }
         }
     }
@@ -280,12 +290,12 @@
         let key = self.requests[&id].run_key.clone();
         let detail = key.map_or(String::new(), |key| key.to_string());
         effects.push(Effect::Log(LogEvent::RunUnknown, detail));
-        self.finish(id, soon(Code::Unknown), now_ms, effects);
+        self.finish(id, retry_soon(Code::Unknown), now_ms, effects);
     }
 
-    /// Tells the agent that this caller waits no more. A run that may not be
-    /// repeated, or whose key the caller holds, goes on: somebody may come
-    /// back under the key for the answer.
+    /// Tells the agent that the caller no longer waits for the attempt. A run
+    /// that may not be repeated, or whose key the caller holds, continues,
+    /// because its answer may still be fetched with the key.
     pub(super) fn cancel_attempt(
         &mut self,
         id: u64,
@@ -302,7 +312,7 @@
         effects.push(Effect::ToAgent(agent.clone(), Body::Cancel(cancel)));
     }
 
-    pub(super) fn caller_gone(
+    pub(super) fn on_caller_gone(
         &mut self,
         id: u64,
         now_ms: u64,
@@ -319,52 +329,56 @@
         }
     }
 
-    /// The last word from this entry host's own knowledge. It knows nothing
-    /// of earlier tries under a key that the caller held already.
+    /// Completes a request with a code that this entry host determined. As it
+    /// doesn't know of earlier attempts under a key that the caller already
+    /// held, the code is adjusted by [`code_for_held_key`].
     pub(super) fn finish(
         &mut self,
         id: u64,
-        mut last: FinalResponse,
+        mut response: FinalResponse,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         let Some(request) = self.requests.get(&id) else { return };
-        last.code = honest(last.code, request.key_is_held());
-        self.finish_as(id, last, now_ms, effects);
+        response.code =
+            code_for_held_key(response.code, request.key_is_held());
+        self.finish_with_exact_code(id, response, now_ms, effects);
     }
 
-    /// The last word from an agent's ledger, which knows every try.
-    pub(super) fn finish_as(
+    /// Completes a request with a code from an agent's ledger, which knows
+    /// all attempts under the key.
+    pub(super) fn finish_with_exact_code(
         &mut self,
         id: u64,
-        mut last: FinalResponse,
+        mut response: FinalResponse,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         let Some(request) = self.requests.remove(&id) else { return };
-        if request.may_have_run && last.code.ran() == Ran::NotRun {
-            last.code = Code::Unknown;
+        if request.may_have_run && response.code.ran() == Ran::NotRun {
+            response.code = Code::Unknown;
         }
-        let is_with_agent = self.attempts.remove(&request.attempt).is_some();
+        let is_with_agent =
+            self.requests_by_attempt.remove(&request.attempt).is_some();
         if let (Stage::Sent { agent, .. }, true) =
             (&request.stage, is_with_agent)
         {
-            // A target that let a deadline pass counts as failing, whatever
-            // it reports of itself.
-            let worked = last.code != Code::DeadlinePassed;
+            // A target that exceeds a deadline is counted as failing, whatever
+            // it reports.
+            let worked = response.code != Code::DeadlinePassed;
             self.router.ended(agent, worked, now_ms);
         }
         self.deadlines.remove(&(request.deadline_ms, id));
         self.queues.remove(id);
         self.release(&request.organisation);
         assert!(
-            last.code != Code::Done
+            response.code != Code::Done
                 || request.submission.stream
                 || request.run_key.is_some(),
             "invariant whole-answer: done without a run"
         );
-        last.run_key = request.run_key;
-        effects.push(Effect::Finish(id, last));
+        response.run_key = request.run_key;
+        effects.push(Effect::Finish(id, response));
     }
 }
 
@@ -386,9 +400,10 @@
     })
 }
 
-/// What may be said without asking the ledger that a held key is pinned to:
-/// an earlier try under the key may have run, whatever becomes of this one.
-fn honest(code: Code, is_held: bool) -> Code {
+/// Returns the code to report if the ledger that a held key is pinned to was
+/// not consulted. An earlier attempt under the key may have run, so "not run"
+/// becomes [`Code::HeldKeyRefused`].
+fn code_for_held_key(code: Code, is_held: bool) -> Code {
     let is_about_the_key = code == Code::RunKeyInvalid;
     match code.ran() {
         Ran::NotRun if is_held && !is_about_the_key => Code::HeldKeyRefused,
@@ -396,6 +411,6 @@
     }
 }
 
-pub(super) fn soon(code: Code) -> FinalResponse {
-    FinalResponse::new(code).with_retry_after_ms(SOON_MS)
+pub(super) fn retry_soon(code: Code) -> FinalResponse {
+    FinalResponse::new(code).with_retry_after_ms(RETRY_SOON_MS)
 }
--- a/crates/raildale-core/src/entry/run_keys.rs
+++ b/crates/raildale-core/src/entry/run_keys.rs
@@ -1,6 +1,6 @@
-//! Run keys at an entry host: issuing them, and asking what became of one.
+//! Run keys at an entry host: issuing them and querying their outcome.
 
-use super::{Effect, Entry, FinalResponse, requests::soon};
+use super::{Effect, Entry, FinalResponse, requests::retry_soon};
 use crate::{
     Code, Digest, Name,
     message::{Body, Known, Query},
@@ -10,12 +10,12 @@
     },
 };
 
-/// How long an agent may take to say what it knows of a run key.
-const ASK_MS: u64 = 1_000;
+/// How long an agent may take to answer a query about a run key.
+const QUERY_TIMEOUT_MS: u64 = 1_000;
 
-/// A question about a run key that an agent has to answer.
+/// A query about a run key that an agent has not answered yet.
 #[derive(Debug)]
-pub(super) struct Ask {
+pub(super) struct PendingQuery {
     until_ms: u64,
     run_key: Name,
 }
@@ -32,9 +32,9 @@
         Ok(Some(text.as_str().into()))
     }
 
-    /// The agent that a caller's run key is pinned to. When that incarnation
-    /// is gone, an earlier try may have run there: the outcome is unknown,
-    /// and nobody else may run the key.
+    /// Returns the agent that a caller's run key is pinned to. If that
+    /// incarnation is gone, an earlier attempt may have run there: the outcome
+    /// is unknown, and no other agent may run the key.
     pub(super) fn pinned_target(
         &self,
         request: &Request,
@@ -46,7 +46,7 @@
         if is_here { Ok(key.agent) } else { Err(Code::Unknown) }
     }
 
-    pub(super) fn mint(&mut self, id: u64, agent: &Name) -> Name {
+    pub(super) fn mint_run_key(&mut self, id: u64, agent: &Name) -> Name {
         let serial = self.next_serial();
         let request = &self.requests[&id];
         let incarnation =
@@ -64,8 +64,8 @@
         key.to_text(&self.config.cluster_key, &request.organisation).into()
     }
 
-    /// A number that no other process, and no earlier start of this one,
-    /// gives out: the incarnation is part of it.
+    /// Returns a number that no other process and no earlier start of this
+    /// one returns, as it includes the incarnation.
     pub(super) fn next_serial(&mut self) -> u64 {
         self.next_serial += 1;
         self.config.incarnation.rotate_left(24) ^ self.next_serial
@@ -79,13 +79,13 @@
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let last = self
-            .pick_for_key(&key_hash, model, now_ms)
-            .unwrap_or_else(|last| last);
-        effects.push(Effect::Finish(request, last));
+        let response = self
+            .create_run_key(&key_hash, model, now_ms)
+            .unwrap_or_else(|response| response);
+        effects.push(Effect::Finish(request, response));
     }
 
-    pub(super) fn pick_for_key(
+    pub(super) fn create_run_key(
         &mut self,
         key_hash: &Digest,
         model: &str,
@@ -96,7 +96,7 @@
         let agent = self
             .router
             .pick(&model, 0, &[], &mut self.rng, now_ms)
-            .ok_or(soon(Code::NoTarget))?;
+            .ok_or(retry_soon(Code::NoTarget))?;
         let incarnation =
             self.router.target(&agent).map_or(0, |target| target.incarnation);
         let rules = self.tree.effective(&model).expect("the model is there");
@@ -107,12 +107,12 @@
             expires_ms: now_ms + rules.run_key_ttl_ms.value,
         };
         let text = key.to_text(&self.config.cluster_key, &organisation);
-        let mut last = FinalResponse::new(Code::Accepted);
-        last.run_key = Some(text.into());
-        Ok(last)
+        let mut response = FinalResponse::new(Code::Accepted);
+        response.run_key = Some(text.into());
+        Ok(response)
     }
 
-    pub(super) fn ask_run(
+    pub(super) fn query_run(
         &mut self,
         request: u64,
         key_hash: Digest,
@@ -121,22 +121,23 @@
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let agent = match self.ask_target(&key_hash, text) {
+        let agent = match self.query_target(&key_hash, text) {
             Ok(agent) => agent,
             Err(code) => {
-                let mut last = FinalResponse::new(code);
-                last.run_key = Some(text.into());
-                effects.push(Effect::Finish(request, last));
+                let mut response = FinalResponse::new(code);
+                response.run_key = Some(text.into());
+                effects.push(Effect::Finish(request, response));
                 return;
             }
         };
-        let until_ms = now_ms + ASK_MS;
-        self.asks.insert(request, Ask { until_ms, run_key: text.into() });
+        let until_ms = now_ms + QUERY_TIMEOUT_MS;
+        self.pending_queries
+            .insert(request, PendingQuery { until_ms, run_key: text.into() });
         let query = Query { run_key: text.to_string(), ask: request, revoke };
         effects.push(Effect::ToAgent(agent, Body::Query(query)));
     }
 
-    pub(super) fn ask_target(
+    pub(super) fn query_target(
         &self,
         key_hash: &Digest,
         text: &str,
@@ -152,31 +153,38 @@
         Ok(key.agent)
     }
 
-    pub(super) fn known(&mut self, known: Known, effects: &mut Vec<Effect>) {
-        let Some(ask) = self.asks.remove(&known.ask) else { return };
+    pub(super) fn on_known(
+        &mut self,
+        known: Known,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(ask) = self.pending_queries.remove(&known.ask) else {
+            return;
+        };
         let code = Code::from_number(known.code).unwrap_or(Code::Unknown);
-        let mut last = FinalResponse::new(code);
-        last.answer = known.answer;
-        last.run_key = Some(ask.run_key);
-        effects.push(Effect::Finish(known.ask, last));
+        let mut response = FinalResponse::new(code);
+        response.answer = known.answer;
+        response.run_key = Some(ask.run_key);
+        effects.push(Effect::Finish(known.ask, response));
     }
 
-    pub(super) fn tick_asks(
+    pub(super) fn tick_queries(
         &mut self,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let late: Vec<u64> = self
-            .asks
+        let expired: Vec<u64> = self
+            .pending_queries
             .iter()
             .filter(|(_, ask)| now_ms >= ask.until_ms)
             .map(|(request, _)| *request)
             .collect();
-        for request in late {
-            let ask = self.asks.remove(&request).expect("it is listed");
-            let mut last = soon(Code::Unknown);
-            last.run_key = Some(ask.run_key);
-            effects.push(Effect::Finish(request, last));
+        for request in expired {
+            let ask =
+                self.pending_queries.remove(&request).expect("it is listed");
+            let mut response = retry_soon(Code::Unknown);
+            response.run_key = Some(ask.run_key);
+            effects.push(Effect::Finish(request, response));
         }
     }
 }
--- a/crates/raildale-core/src/entry/settings.rs
+++ b/crates/raildale-core/src/entry/settings.rs
@@ -1,6 +1,7 @@
-//! Settings at an entry host: which revision is in force, who watches.
+//! Settings at an entry host: the revision in force and the choice of the
+//! entry hosts that watch the platform.
 
-use super::{Effect, Entry, LISTEN_MS};
+use super::{Effect, Entry, STARTUP_LISTEN_MS};
 use crate::{
     Digest, LogEvent, Name,
     message::{Body, SettingsAsk, SettingsBody},
@@ -8,11 +9,12 @@
     settings::{Tree, revision::Offer},
 };
 
-/// Entry hosts of a data centre that watch the platform.
+/// The number of entry hosts of a data centre that watch the platform.
 ///
-/// Two, so that one may go unnoticed for a while; each waiting watch counts
-/// as a call, so that the rest hear from peers instead.
-const WATCHERS: usize = 2;
+/// Two, so that changes are still seen while the loss of one is not yet
+/// detected. Each waiting watch counts as a call to the platform, so the other
+/// entry hosts get settings from their peers instead.
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
 impl Entry {
     pub(super) fn offer_settings(
@@ -34,32 +36,38 @@
         }
         self.revision.advance(revision);
         self.text = text;
-        self.callers = callers(&tree);
+        self.organisations_by_key = organisations_by_key(&tree);
         self.tree = tree;
         let detail = revision.to_string();
         effects.push(Effect::Log(LogEvent::SettingsInForce, detail));
-        self.apply_limits();
-        self.beat(effects);
+        self.drop_unused_limits();
+        self.broadcast_heartbeat(effects);
     }
 
-    /// Whether it may serve: it has settings, none it heard of is newer, and
-    /// it has listened to others before it trusts its own first reading.
+    /// Returns whether this entry host may serve requests: it has settings, no
+    /// peer has reported a newer revision, and, if it has seeds, it has heard
+    /// a peer's revision or its start-up wait is over.
     pub fn may_serve(&self, now_ms: u64) -> bool {
         let newest =
             self.peers.values().map(|peer| peer.revision).max().unwrap_or(0);
         let has_heard = !self.config.has_seeds
             || newest > 0
-            || now_ms >= self.started_ms + LISTEN_MS;
+            || now_ms >= self.started_ms + STARTUP_LISTEN_MS;
         let in_force = self.revision.in_force();
         in_force > 0 && in_force >= newest && has_heard
     }
 
-    pub(super) fn ask_settings(&self, entry: Name, effects: &mut Vec<Effect>) {
+    pub(super) fn request_settings(
+        &self,
+        entry: Name,
+        effects: &mut Vec<Effect>,
+    ) {
         let ask = Body::SettingsAsk(SettingsAsk {});
         effects.push(Effect::ToEntry(entry, ask));
     }
 
-    /// The settings for another process; none while there are none.
+    /// Returns the message that carries the settings in force; `None` while
+    /// there are none.
     pub(super) fn settings_body(&self) -> Option<Body> {
         let revision = self.revision.in_force();
         let text = self.text.to_string();
@@ -68,13 +76,17 @@
     }
 
     pub(super) fn choose_watchers(&mut self, effects: &mut Vec<Effect>) {
-        let near: Vec<Name> = self
+        let local_entries: Vec<Name> = self
             .live_entries()
             .into_iter()
             .filter(|name| self.is_near(name))
             .collect();
         let key = self.config.data_centre.as_bytes();
-        let watchers = rendezvous::owners(key, near.iter(), WATCHERS);
+        let watchers = rendezvous::owners(
+            key,
+            local_entries.iter(),
+            WATCHERS_PER_DATA_CENTRE,
+        );
         let watching = watchers.contains(&&self.config.name);
         if watching != self.watching {
             self.watching = watching;
@@ -89,20 +101,22 @@
         })
     }
 
-    /// The organisation whose caller holds the key with this digest.
+    /// Returns the organisation whose caller holds the key with this digest.
     pub fn organisation_of(&self, key_hash: &Digest) -> Option<&Name> {
-        self.callers.get(key_hash)
+        self.organisations_by_key.get(key_hash)
     }
 }
 
-fn callers(tree: &Tree) -> std::collections::BTreeMap<Digest, Name> {
-    let mut callers = std::collections::BTreeMap::new();
+fn organisations_by_key(
+    tree: &Tree,
+) -> std::collections::BTreeMap<Digest, Name> {
+    let mut organisations = std::collections::BTreeMap::new();
     for (name, organisation) in &tree.organisations {
         for hash in &organisation.key_hashes {
             if let Some(digest) = Digest::from_hex(hash) {
-                callers.insert(digest, name.as_str().into());
+                organisations.insert(digest, name.as_str().into());
             }
         }
     }
-    callers
+    organisations
 }
--- a/crates/raildale-core/src/entry/shares.rs
+++ b/crates/raildale-core/src/entry/shares.rs
@@ -1,4 +1,4 @@
-//! An organisation's limits, shared over entry hosts without a store.
+//! Organisations' limits, shared among entry hosts without a store.
 //!
 //! See [`crate::request::admission`] for the scheme and its bound.
 
@@ -12,16 +12,17 @@
     request::admission::Bucket,
 };
 
-/// Thousandths of a limit that are split evenly and need no asking.
+/// The part of a limit, in thousandths, that is split evenly among the entry
+/// hosts and needs no lease.
 const EVEN_PERMILLE: u64 = 250;
 
-/// Thousandths of a limit that the owner leases.
+/// The part of a limit, in thousandths, that its owner leases.
 const LEASED_PERMILLE: u64 = 1000 - EVEN_PERMILLE;
 
-/// How long a share may be used.
+/// How long a leased share may be used.
 const SHARE_TTL_MS: u64 = 2_000;
 
-/// What one entry host may admit of one organisation's requests.
+/// One organisation's limits and their use at this entry host.
 #[derive(Debug)]
 pub(super) struct Limits {
     bucket: Bucket,
@@ -32,14 +33,14 @@
     retries_milli: u64,
 }
 
-/// The shares that this entry host leases out as an owner.
+/// The shares that this entry host leases as the owner of limits.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
-    owned: BTreeMap<Name, Owned>,
+    owned: BTreeMap<Name, OwnedLimit>,
 }
 
 #[derive(Debug)]
-struct Owned {
+struct OwnedLimit {
     since_ms: u64,
     leases: BTreeMap<Name, Lease>,
 }
@@ -65,7 +66,8 @@
 }
 
 impl Entry {
-    /// Takes a request in against the organisation's limits.
+    /// Admits a request against the organisation's limits. Returns the code
+    /// and the retry delay in milliseconds if a limit is reached.
     pub(super) fn admit(
         &mut self,
         organisation: &Name,
@@ -82,8 +84,9 @@
             .or_insert_with(|| Limits::new(rate_milli, now_ms));
         limits.demand += 1;
         limits.bucket.set_rate(rate_milli, now_ms);
-        let most = (rules.concurrency.value * permille).div_ceil(1000);
-        if limits.in_progress >= most {
+        let max_in_progress =
+            (rules.concurrency.value * permille).div_ceil(1000);
+        if limits.in_progress >= max_in_progress {
             return Err((Code::ConcurrencyLimit, 100));
         }
         if !limits.bucket.take(now_ms) {
@@ -95,14 +98,15 @@
         Ok(())
     }
 
-    /// A request that was admitted has its last word.
+    /// Releases the place of an admitted request that is complete.
     pub(super) fn release(&mut self, organisation: &Name) {
         if let Some(limits) = self.limits.get_mut(organisation) {
             limits.in_progress = limits.in_progress.saturating_sub(1);
         }
     }
 
-    /// Takes one retry out of the organisation's budget.
+    /// Takes one retry from the organisation's budget. Returns whether there
+    /// was one.
     pub(super) fn spend_retry(&mut self, organisation: &Name) -> bool {
         let Some(limits) = self.limits.get_mut(organisation) else {
             return false;
@@ -114,7 +118,8 @@
         has_one
     }
 
-    /// Thousandths of the organisation's limits that this process may use.
+    /// Returns the part of the organisation's limits, in thousandths, that
+    /// this process may use.
     fn share_permille(&self, organisation: &Name, now_ms: u64) -> u64 {
         let count = self.live_entries().len().max(1) as u64;
         if count == 1 {
@@ -129,15 +134,16 @@
         even + leased
     }
 
-    /// New settings may have taken an organisation away.
-    pub(super) fn apply_limits(&mut self) {
+    /// Removes the limits of organisations that are no longer in the settings
+    /// and have no request in progress.
+    pub(super) fn drop_unused_limits(&mut self) {
         let tree = &self.tree;
         self.limits.retain(|name, limits| {
             tree.organisations.contains_key(&**name) || limits.in_progress > 0
         });
     }
 
-    pub(super) fn ask_shares(
+    pub(super) fn request_shares(
         &mut self,
         now_ms: u64,
         effects: &mut Vec<Effect>,
@@ -163,35 +169,37 @@
         }
         for ask in own {
             let name = self.config.name.clone();
-            if let Some(lease) = self.lease(name, &ask, now_ms) {
-                self.share_leased(&lease, now_ms);
+            if let Some(lease) = self.grant_lease(name, &ask, now_ms) {
+                self.on_share_lease(&lease, now_ms);
             }
         }
     }
 
-    pub(super) fn share_asked(
+    pub(super) fn on_share_ask(
         &mut self,
         entry: Name,
         ask: ShareAsk,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        if let Some(lease) = self.lease(entry.clone(), &ask, now_ms) {
+        if let Some(lease) = self.grant_lease(entry.clone(), &ask, now_ms) {
             let body = Body::ShareLease(lease);
             effects.push(Effect::ToEntry(entry, body));
         }
     }
 
-    pub(super) fn share_leased(&mut self, lease: &ShareLease, now_ms: u64) {
+    pub(super) fn on_share_lease(&mut self, lease: &ShareLease, now_ms: u64) {
         let organisation: Name = lease.organisation.as_str().into();
         let Some(limits) = self.limits.get_mut(&organisation) else { return };
         limits.share_permille = lease.share_permille.into();
         limits.share_until_ms = now_ms + lease.ttl_ms;
     }
 
-    /// Leases a share in proportion to demand. Unexpired leases of others
-    /// are never cut short, so the sum stays within the leased part.
-    fn lease(
+    /// Leases a share in proportion to demand; `None` if this entry host does
+    /// not own the limit, or has owned it for less than a lease's duration and
+    /// is not the only one. Unexpired leases of others are never shortened, so
+    /// the sum stays within the leased part.
+    fn grant_lease(
         &mut self,
         entry: Name,
         ask: &ShareAsk,
@@ -206,9 +214,8 @@
         let organisation: Name = ask.organisation.as_str().into();
         let is_alone_since_start = live.len() == 1;
         let owned =
-            self.shares.owned.entry(organisation).or_insert_with(|| Owned {
-                since_ms: now_ms,
-                leases: BTreeMap::new(),
+            self.shares.owned.entry(organisation).or_insert_with(|| {
+                OwnedLimit { since_ms: now_ms, leases: BTreeMap::new() }
             });
         let settled =
             is_alone_since_start || now_ms >= owned.since_ms + SHARE_TTL_MS;
@@ -224,7 +231,7 @@
     }
 }
 
-impl Owned {
+impl OwnedLimit {
     fn grant(&mut self, entry: Name, demand: u64, now_ms: u64) -> u64 {
         self.leases.retain(|_, lease| now_ms < lease.until_ms);
         self.leases.remove(&entry);
@@ -234,8 +241,8 @@
         let fair = LEASED_PERMILLE * demand / all.max(1);
         let free = LEASED_PERMILLE - others;
         let permille = fair.min(free);
-        // The owner's clock starts before the holder's, so the holder could
-        // outlast it; the margin covers the message's way.
+        // The lease starts earlier at the owner than at the holder, which
+        // counts from receipt; the margin covers the message's transit time.
         let until_ms = now_ms + SHARE_TTL_MS + SHARE_TTL_MS / 4;
         self.leases.insert(entry, Lease { permille, demand, until_ms });
         let sum: u64 = self.leases.values().map(|l| l.permille).sum();
--- a/crates/raildale-core/src/entry/trackers.rs
+++ b/crates/raildale-core/src/entry/trackers.rs
@@ -1,6 +1,6 @@
 //! The spreads that this entry host tracks.
 
-use super::{Effect, Entry, misplaced};
+use super::{Effect, Entry, log_misplaced_frame};
 use crate::{
     Digest, LogEvent, Manifest, Name,
     message::{Body, Grant, Join, ManifestBody, Obtained, Part, View},
@@ -8,21 +8,21 @@
     spread::tracker::{Told, Tracker},
 };
 
-/// How long to wait before the origin is asked for a manifest again.
+/// How long to wait before a manifest is requested from the origin again.
 const MANIFEST_RETRY_MS: u64 = 1_000;
 
-/// A spread that this entry host tracks.
+/// A spread, its manifest once it is read, and the agents that wait for it.
 #[derive(Debug)]
 pub(super) struct Spread {
     tracker: Tracker,
     origin_path: String,
     manifest: Option<Vec<u8>>,
-    asked_ms: u64,
-    waiting: Vec<Name>,
+    manifest_requested_ms: u64,
+    manifest_waiters: Vec<Name>,
 }
 
 impl Entry {
-    pub(super) fn join(
+    pub(super) fn on_join(
         &mut self,
         agent: Name,
         join: Join,
@@ -30,7 +30,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(digest) = Digest::from_slice(&join.manifest) else {
-            return misplaced(&agent, effects);
+            return log_misplaced_frame(&agent, effects);
         };
         let Some(identity) = self.agents.get(&agent) else { return };
         let data_centre: Name = identity.data_centre.as_str().into();
@@ -42,22 +42,23 @@
                 tracker,
                 origin_path: join.origin_path,
                 manifest: None,
-                asked_ms: 0,
-                waiting: vec![],
+                manifest_requested_ms: 0,
+                manifest_waiters: vec![],
             }
         });
         spread.tracker.set_favour(favour);
         let address = &identity.address;
         spread.tracker.join(&agent, &data_centre, address, &join.have);
         if join.wants_manifest {
-            spread.waiting.push(agent);
+            spread.manifest_waiters.push(agent);
         }
-        spread.hand_out_manifest(digest, effects);
-        self.plan(digest, now_ms, effects);
+        spread.send_manifest_to_waiters(digest, effects);
+        self.send_plan(digest, now_ms, effects);
     }
 
-    /// What the model that wants a version favours. Where several do, one
-    /// that saves the origin's bytes decides.
+    /// Returns the `favour` rule of the models that want the version with
+    /// this manifest digest: [`Favour::Time`] if all of them set it,
+    /// [`Favour::OriginBytes`] otherwise.
     fn favour_of(&self, digest: Digest) -> Favour {
         let hex = digest.to_hex();
         let mut favours = vec![];
@@ -79,7 +80,7 @@
         if wants_time { Favour::Time } else { Favour::OriginBytes }
     }
 
-    pub(super) fn part(
+    pub(super) fn on_part(
         &mut self,
         agent: &Name,
         part: Part,
@@ -111,15 +112,15 @@
     ) {
         let Some(spread) = self.spreads.get_mut(&digest) else { return };
         spread.tracker.leave(agent);
-        spread.waiting.retain(|name| name != agent);
+        spread.manifest_waiters.retain(|name| name != agent);
         if spread.tracker.is_empty() {
             self.spreads.remove(&digest);
         } else {
-            self.plan(digest, now_ms, effects);
+            self.send_plan(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn obtained(
+    pub(super) fn on_obtained(
         &mut self,
         agent: &Name,
         obtained: Obtained,
@@ -127,16 +128,16 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(digest) = Digest::from_slice(&obtained.manifest) else {
-            return misplaced(agent, effects);
+            return log_misplaced_frame(agent, effects);
         };
         if let Some(spread) = self.spreads.get_mut(&digest) {
             let Obtained { held, failed, .. } = obtained;
             spread.tracker.obtained(agent, &held, &failed);
-            self.plan(digest, now_ms, effects);
+            self.send_plan(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn manifest_read(
+    pub(super) fn on_manifest_read(
         &mut self,
         digest: Digest,
         manifest: Option<Manifest>,
@@ -156,8 +157,8 @@
         }
         spread.tracker.set_chunks(manifest.len());
         spread.manifest = Some(manifest.encode());
-        spread.hand_out_manifest(digest, effects);
-        self.plan(digest, now_ms, effects);
+        spread.send_manifest_to_waiters(digest, effects);
+        self.send_plan(digest, now_ms, effects);
     }
 
     pub(super) fn tick_trackers(
@@ -168,21 +169,21 @@
         let digests: Vec<Digest> = self.spreads.keys().copied().collect();
         for digest in digests {
             let spread = self.spreads.get_mut(&digest).expect("listed");
-            spread.ask_for_manifest(digest, now_ms, effects);
-            self.plan(digest, now_ms, effects);
+            spread.request_manifest(digest, now_ms, effects);
+            self.send_plan(digest, now_ms, effects);
         }
     }
 
-    fn plan(
+    fn send_plan(
         &mut self,
         digest: Digest,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         let Some(spread) = self.spreads.get_mut(&digest) else { return };
-        for telling in spread.tracker.plan(now_ms) {
+        for message in spread.tracker.plan(now_ms) {
             let manifest = digest.to_vec();
-            let body = match telling.told {
+            let body = match message.told {
                 Told::Grant(chunk) => {
                     Body::Grant(Grant { manifest, chunks: vec![chunk] })
                 }
@@ -190,34 +191,34 @@
                     Body::View(View { manifest, neighbours })
                 }
             };
-            effects.push(Effect::ToAgent(telling.member, body));
+            effects.push(Effect::ToAgent(message.member, body));
         }
     }
 }
 
 impl Spread {
-    fn ask_for_manifest(
+    fn request_manifest(
         &mut self,
         digest: Digest,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         let is_due = self.manifest.is_none()
-            && now_ms >= self.asked_ms + MANIFEST_RETRY_MS;
+            && now_ms >= self.manifest_requested_ms + MANIFEST_RETRY_MS;
         if is_due {
-            self.asked_ms = now_ms;
+            self.manifest_requested_ms = now_ms;
             let origin_path = self.origin_path.clone();
             effects.push(Effect::ReadManifest { digest, origin_path });
         }
     }
 
-    fn hand_out_manifest(
+    fn send_manifest_to_waiters(
         &mut self,
         digest: Digest,
         effects: &mut Vec<Effect>,
     ) {
         let Some(encoded) = &self.manifest else { return };
-        for agent in self.waiting.drain(..) {
+        for agent in self.manifest_waiters.drain(..) {
             let body = Body::Manifest(ManifestBody {
                 manifest: digest.to_vec(),
                 encoded: encoded.clone(),
