--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -21,7 +21,7 @@
     },
     rendezvous,
     request::ledger::{Ledger, LedgerConfig},
-    settings::{RevisionGate, Tree, revision::Offer},
+    settings::{RevisionGate, Tree, revision::RevisionOrder},
     spread::{
         download::{Download, Source},
         upload::UploadQueue,
@@ -529,9 +529,9 @@
         effects: &mut Vec<Effect>,
     ) {
         match self.revision.weigh(revision) {
-            Offer::Newer => {}
-            Offer::Same => return,
-            Offer::Older => {
+            RevisionOrder::Newer => {}
+            RevisionOrder::Same => return,
+            RevisionOrder::Older => {
                 let detail = revision.to_string();
                 effects
                     .push(Effect::Log(LogEvent::SettingsOlderRefused, detail));
--- a/crates/raildale-core/src/entry/settings.rs
+++ b/crates/raildale-core/src/entry/settings.rs
@@ -6,7 +6,7 @@
     Digest, LogEvent, Name,
     message::{Body, SettingsAsk, SettingsBody},
     rendezvous,
-    settings::{Tree, revision::Offer},
+    settings::{Tree, revision::RevisionOrder},
 };
 
 /// The number of entry hosts of a data centre that watch the platform.
@@ -25,9 +25,9 @@
         effects: &mut Vec<Effect>,
     ) {
         match self.revision.weigh(revision) {
-            Offer::Newer => {}
-            Offer::Same => return,
-            Offer::Older => {
+            RevisionOrder::Newer => {}
+            RevisionOrder::Same => return,
+            RevisionOrder::Older => {
                 let detail = revision.to_string();
                 effects
                     .push(Effect::Log(LogEvent::SettingsOlderRefused, detail));
--- a/crates/raildale-core/src/settings/revision.rs
+++ b/crates/raildale-core/src/settings/revision.rs
@@ -2,7 +2,7 @@
 
 /// What to do with a settings revision that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum RevisionOrder {
     /// It is newer; apply it.
     Newer,
     /// It is the one in force.
@@ -29,11 +29,11 @@
     }
 
     /// Compares `revision` with the one in force.
-    pub fn weigh(&self, revision: u64) -> Offer {
+    pub fn weigh(&self, revision: u64) -> RevisionOrder {
         match revision.cmp(&self.in_force) {
-            std::cmp::Ordering::Greater => Offer::Newer,
-            std::cmp::Ordering::Equal => Offer::Same,
-            std::cmp::Ordering::Less => Offer::Older,
+            std::cmp::Ordering::Greater => RevisionOrder::Newer,
+            std::cmp::Ordering::Equal => RevisionOrder::Same,
+            std::cmp::Ordering::Less => RevisionOrder::Older,
         }
     }
 
