--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -528,7 +528,7 @@
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        match self.revision.weigh(revision) {
+        match self.revision.compare(revision) {
             RevisionOrder::Newer => {}
             RevisionOrder::Same => return,
             RevisionOrder::Older => {
--- a/crates/raildale-core/src/entry/settings.rs
+++ b/crates/raildale-core/src/entry/settings.rs
@@ -24,7 +24,7 @@
         tree: Tree,
         effects: &mut Vec<Effect>,
     ) {
-        match self.revision.weigh(revision) {
+        match self.revision.compare(revision) {
             RevisionOrder::Newer => {}
             RevisionOrder::Same => return,
             RevisionOrder::Older => {
--- a/crates/raildale-core/src/settings/revision.rs
+++ b/crates/raildale-core/src/settings/revision.rs
@@ -29,7 +29,7 @@
     }
 
     /// Compares `revision` with the one in force.
-    pub fn weigh(&self, revision: u64) -> RevisionOrder {
+    pub fn compare(&self, revision: u64) -> RevisionOrder {
         match revision.cmp(&self.in_force) {
             std::cmp::Ordering::Greater => RevisionOrder::Newer,
             std::cmp::Ordering::Equal => RevisionOrder::Same,
