--- a/crates/raildale-core/src/code.rs
+++ b/crates/raildale-core/src/code.rs
@@ -19,7 +19,7 @@
 
 impl Ran {
     /// The word used in answers.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Ran::NotRun => "not run",
             Ran::Ran => "ran",
--- a/crates/raildale-core/src/settings/tree.rs
+++ b/crates/raildale-core/src/settings/tree.rs
@@ -22,7 +22,7 @@
 
 impl Favour {
     /// The word in settings.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Favour::Time => "time",
             Favour::OriginBytes => "origin-bytes",
@@ -168,7 +168,7 @@
 
 impl Level {
     /// The word shown to operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Level::BuiltIn => "built-in",
             Level::Root => "root",
@@ -350,7 +350,7 @@
 
     /// Every rule's name, value and source, for people.
     pub fn rows(&self) -> Vec<(&'static str, String, Level)> {
-        let favour = self.favour.value.word().to_string();
+        let favour = self.favour.value.as_str().to_string();
         let mut rows = vec![("favour", favour, self.favour.level)];
         for (name, rule) in [
             ("requests_per_s", self.requests_per_s),
--- a/crates/raildale/src/http_api/admin.rs
+++ b/crates/raildale/src/http_api/admin.rs
@@ -212,7 +212,7 @@
                             json!({
                                 "rule": name,
                                 "value": value,
-                                "from": level.word(),
+                                "from": level.as_str(),
                             })
                         })
                         .collect();
--- a/crates/raildale/src/http_api/answers.rs
+++ b/crates/raildale/src/http_api/answers.rs
@@ -27,7 +27,7 @@
 pub(super) fn coded(code: Code, detail: &str) -> Response<Body> {
     let value = json!({
         "code": code.number(),
-        "ran": code.ran().word(),
+        "ran": code.ran().as_str(),
         "text": code.text(),
         "detail": detail,
     });
@@ -57,7 +57,7 @@
 pub(super) fn last_value(last: &FinalResponse) -> Value {
     json!({
         "code": last.code.number(),
-        "ran": last.code.ran().word(),
+        "ran": last.code.ran().as_str(),
         "text": last.code.text(),
         "answer": String::from_utf8_lossy(&last.answer),
         "run_key": last.run_key.as_deref(),
--- a/crates/raildale/src/lib.rs
+++ b/crates/raildale/src/lib.rs
@@ -18,7 +18,7 @@
 //! "#;
 //! let tree = raildale::settings_text::parse(text).unwrap();
 //! let rules = tree.effective("club/commentary").unwrap();
-//! assert_eq!(rules.favour.level.word(), "organisation");
+//! assert_eq!(rules.favour.level.as_str(), "organisation");
 //!
 //! let error = raildale::settings_text::parse("[organisation]").unwrap_err();
 //! assert!(error.detail().contains("did you mean `organisations`?"));
--- a/crates/raildale/tests/tables.rs
+++ b/crates/raildale/tests/tables.rs
@@ -20,7 +20,7 @@
                 "| {} | {code:?} | {} | {} | {} |",
                 code.number(),
                 code.http_status(),
-                code.ran().word(),
+                code.ran().as_str(),
                 code.text()
             )
         })
