--- a/crates/raildale-core/src/settings/tree.rs
+++ b/crates/raildale-core/src/settings/tree.rs
@@ -270,7 +270,7 @@
     }
 
     /// What contradicts itself in the tree, in words for operators.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut faults = vec![];
         for (organisation, entry) in &self.organisations {
             check_name(organisation, &mut faults);
--- a/crates/raildale/src/settings_text.rs
+++ b/crates/raildale/src/settings_text.rs
@@ -22,7 +22,7 @@
 pub fn parse(text: &str) -> Result<Tree, Error> {
     let tree: Tree = config::parse(text)
         .map_err(|fault| Error::new(ErrorKind::Settings, fault))?;
-    let faults = tree.faults();
+    let faults = tree.validation_errors();
     if faults.is_empty() {
         return Ok(tree);
     }
