--- a/crates/raildale-core/src/settings/mod.rs
+++ b/crates/raildale-core/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The tree of settings, and the rule that revisions only grow.
+//! The settings tree, its revisions, and writing a change exactly once.
 
 pub mod revision;
 pub mod tree;
--- a/crates/raildale-core/src/settings/revision.rs
+++ b/crates/raildale-core/src/settings/revision.rs
@@ -1,29 +1,29 @@
-//! Revisions only grow.
+//! The rule that the settings revision in force never decreases.
 
-/// What to do with a settings revision that was offered.
+/// How a settings revision compares with the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RevisionOrder {
-    /// It is newer; apply it.
+    /// It is newer and is to be applied.
     Newer,
-    /// It is the one in force.
+    /// It is the revision in force.
     Same,
-    /// It is older than the one in force; refuse it.
+    /// It is older than the one in force and is to be refused.
     Older,
 }
 
-/// The highest revision that a process has seen.
+/// The settings revision that a process has in force. It only increases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RevisionGate {
     in_force: u64,
 }
 
 impl RevisionGate {
-    /// A gate that has seen nothing; revision 0 means none.
+    /// Returns a gate with no revision in force, which is represented by 0.
     pub fn new() -> RevisionGate {
         RevisionGate::default()
     }
 
-    /// The revision in force.
+    /// Returns the revision in force; 0 if there is none.
     pub fn in_force(&self) -> u64 {
         self.in_force
     }
@@ -41,7 +41,8 @@
     ///
     /// # Panics
     ///
-    /// Panics if it is not newer: the invariant *settings-never-revert*.
+    /// Panics if `revision` is not newer than the one in force (the invariant
+    /// *settings-never-revert*).
     pub fn advance(&mut self, revision: u64) {
         assert!(
             revision > self.in_force,
--- a/crates/raildale-core/src/settings/tree.rs
+++ b/crates/raildale-core/src/settings/tree.rs
@@ -1,8 +1,8 @@
-//! The tree: defaults, organisations, models, versions.
+//! The settings tree: defaults, organisations, models and versions.
 //!
-//! A child overrides only what it must; everything else comes from its
-//! parent. The text is TOML, read by the `raildale` crate; unknown names are
-//! refused there, so this module need not skip any.
+//! A child overrides only the rules that it sets and inherits the others from
+//! its parent. The `raildale` crate reads the tree from TOML text. Unknown
+//! names are refused.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
 
 use crate::{Digest, Name};
 
-/// What a spread saves first.
+/// Whether a spread favours an early finish or few bytes from the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Favour {
-    /// Spare capacity of the origin may be used to be ready earlier.
+    /// The origin's spare capacity may be used to finish earlier.
     Time,
-    /// Each chunk leaves the origin once.
+    /// Each chunk is fetched from the origin only once.
     OriginBytes,
 }
 
 impl Favour {
-    /// The word in settings.
+    /// Returns the value as settings spell it.
     pub fn as_str(self) -> &'static str {
         match self {
             Favour::Time => "time",
@@ -30,36 +30,40 @@
     }
 }
 
-/// What kind of back end serves a model.
+/// The kind of back end that serves a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// A model engine, which needs weights.
     #[default]
     Engine,
-    /// A plain service, which needs none.
+    /// A plain service, which needs no weights.
     Plain,
 }
 
-/// Rules that every level of the tree may set.
+/// Rules that may be set at every level of the tree. `None` inherits the rule
+/// from the level above.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// What a spread saves first.
+    /// Whether a spread favours an early finish or few bytes from the origin.
     pub favour: Option<Favour>,
-    /// Requests a second over all entry hosts.
+    /// The maximum rate of requests a second, over all entry hosts.
     pub requests_per_s: Option<u64>,
-    /// Requests in progress at once over all entry hosts.
+    /// The maximum number of requests in progress, over all entry hosts.
     pub concurrency: Option<u64>,
-    /// Requests waiting at one entry host.
+    /// The maximum number of an organisation's requests queued in one class at
+    /// one entry host.
     pub queue_places: Option<u64>,
-    /// Tokens of one answer at most.
+    /// The maximum number of tokens of an answer.
     pub max_tokens: Option<u64>,
-    /// Deadline of a request that states none.
+    /// The deadline of a request that states none, and the maximum of one that
+    /// does.
     pub deadline_ms: Option<u64>,
-    /// Retries for each hundred requests.
+    /// The number of retries allowed for every hundred requests.
     pub retry_percent: Option<u64>,
-    /// How long a run key is good for.
+    /// How long a run key is valid, from its issue or, if it was not issued in
+    /// advance, from the request's deadline.
     pub run_key_ttl_ms: Option<u64>,
 }
 
@@ -69,9 +73,9 @@
 pub struct Version {
     /// The manifest's digest, 64 hexadecimal digits.
     pub manifest: String,
-    /// Where the origin keeps the version.
+    /// The version's path at the origin.
     pub origin_path: String,
-    /// Whether its spread rests.
+    /// Whether the version's spread is paused.
     #[serde(default)]
     pub paused: bool,
     /// Rules that this version overrides.
@@ -79,16 +83,16 @@
     pub rules: Rules,
 }
 
-/// A model, or a plain service.
+/// A model or a plain service.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// What serves it.
+    /// The kind of back end that serves it.
     #[serde(default)]
     pub kind: Kind,
     /// The pool of hosts that serve it.
     pub pool: String,
-    /// The version that is to be served; none for a plain service.
+    /// The name of the version to serve; `None` for a plain service.
     pub version: Option<String>,
     /// Rules that this model overrides.
     #[serde(default)]
@@ -102,8 +106,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// BLAKE3 of each key of its callers, hexadecimal. Two while one is
-    /// replaced by the next.
+    /// BLAKE3 of each key of its callers, hexadecimal. There are two while a
+    /// key is being replaced.
     #[serde(default)]
     pub key_hashes: Vec<String>,
     /// Rules that this organisation overrides.
@@ -114,13 +118,13 @@
     pub models: BTreeMap<String, Model>,
 }
 
-/// What an operator may do.
+/// An operator's permissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Sees.
+    /// May read.
     Viewer,
-    /// Sees and changes.
+    /// May read and make changes.
     Editor,
 }
 
@@ -130,17 +134,17 @@
 pub struct Operator {
     /// BLAKE3 of each of the operator's keys, hexadecimal.
     pub key_hashes: Vec<String>,
-    /// What the operator may do.
+    /// The operator's permissions.
     pub role: Role,
-    /// The one organisation that the operator sees; all if absent.
+    /// The only organisation that the operator may see; `None` for all.
     pub organisation: Option<String>,
 }
 
-/// The whole tree.
+/// The root of the settings tree.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tree {
-    /// Rules for everybody.
+    /// Rules for all organisations.
     #[serde(default)]
     pub rules: Rules,
     /// Operators by name.
@@ -151,23 +155,23 @@
     pub organisations: BTreeMap<String, Organisation>,
 }
 
-/// Where in the tree a value was set.
+/// The level of the tree that set a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Nowhere; the program's own default.
+    /// None: the value is the program's default.
     BuiltIn,
-    /// At the root.
+    /// The root.
     Root,
-    /// At the organisation.
+    /// The organisation.
     Organisation,
-    /// At the model.
+    /// The model.
     Model,
-    /// At the version.
+    /// The version.
     Version,
 }
 
 impl Level {
-    /// The word shown to operators.
+    /// Returns the level's name, as shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Level::BuiltIn => "built-in",
@@ -179,7 +183,7 @@
     }
 }
 
-/// A value and where it was set.
+/// A value and the level that set it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sourced<T> {
     /// The value in force.
@@ -188,7 +192,8 @@
     pub level: Level,
 }
 
-/// The rules in force for one model, each with its source.
+/// The rules in force for a model or an organisation, each with the level that
+/// set it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Effective {
     /// See [`Rules::favour`].
@@ -209,27 +214,28 @@
     pub run_key_ttl_ms: Sourced<u64>,
 }
 
-/// A version that hosts of a pool are to serve.
+/// A model version or plain service that the hosts of a pool are to serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wanted {
     /// `organisation/model`.
     pub model: Name,
-    /// The manifest's digest; none for a plain service.
+    /// The manifest's digest; `None` for a plain service.
     pub manifest: Option<Digest>,
-    /// Where the origin keeps it; empty for a plain service.
+    /// The version's path at the origin; empty for a plain service.
     pub origin_path: String,
-    /// Whether its spread rests.
+    /// Whether the version's spread is paused.
     pub paused: bool,
 }
 
 impl Tree {
-    /// The model at `organisation/model`.
+    /// Returns the model at `organisation/model`.
     pub fn model(&self, path: &str) -> Option<&Model> {
         let (organisation, model) = path.split_once('/')?;
         self.organisations.get(organisation)?.models.get(model)
     }
 
-    /// The rules in force at `organisation/model`.
+    /// Returns the rules in force at `organisation/model`; `None` if there is
+    /// no such model.
     pub fn effective(&self, path: &str) -> Option<Effective> {
         let (organisation, _) = path.split_once('/')?;
         let organisation = self.organisations.get(organisation)?;
@@ -245,7 +251,8 @@
         Some(Effective::new(&levels))
     }
 
-    /// The rules in force for the organisation as a whole.
+    /// Returns the rules in force for an organisation as a whole; `None` if
+    /// there is no such organisation.
     pub fn organisation_rules(&self, name: &str) -> Option<Effective> {
         let organisation = self.organisations.get(name)?;
         let levels = [
@@ -255,7 +262,8 @@
         Some(Effective::new(&levels))
     }
 
-    /// What hosts of `pool` are to serve.
+    /// Returns what the hosts of `pool` are to serve. Models without a listed
+    /// version or with an invalid digest are left out.
     pub fn wanted(&self, pool: &str) -> Vec<Wanted> {
         let mut wanted = vec![];
         for (organisation, entry) in &self.organisations {
@@ -269,26 +277,30 @@
         wanted
     }
 
-    /// What contradicts itself in the tree, in words for operators.
+    /// Returns a message for operators for each invalid name, digest and
+    /// reference in the tree; empty if the tree is valid.
     pub fn validation_errors(&self) -> Vec<String> {
-        let mut faults = vec![];
+        let mut errors = vec![];
         for (organisation, entry) in &self.organisations {
-            check_name(organisation, &mut faults);
+            check_name(organisation, &mut errors);
             for (name, model) in &entry.models {
-                check_name(name, &mut faults);
-                model.faults(&format!("{organisation}/{name}"), &mut faults);
+                check_name(name, &mut errors);
+                model.collect_errors(
+                    &format!("{organisation}/{name}"),
+                    &mut errors,
+                );
             }
         }
         for (name, operator) in &self.operators {
             if let Some(organisation) = &operator.organisation
                 && !self.organisations.contains_key(organisation)
             {
-                faults.push(format!(
+                errors.push(format!(
                     "operator {name}: no organisation {organisation}"
                 ));
             }
         }
-        faults
+        errors
     }
 }
 
@@ -311,18 +323,18 @@
         })
     }
 
-    fn faults(&self, path: &str, faults: &mut Vec<String>) {
+    fn collect_errors(&self, path: &str, errors: &mut Vec<String>) {
         if let Some(version) = &self.version
             && !self.versions.contains_key(version)
         {
-            faults.push(format!("{path}: version {version} is not listed"));
+            errors.push(format!("{path}: version {version} is not listed"));
         }
         if self.kind == Kind::Plain && self.version.is_some() {
-            faults.push(format!("{path}: a plain service has no version"));
+            errors.push(format!("{path}: a plain service has no version"));
         }
         for (name, version) in &self.versions {
             if Digest::from_hex(&version.manifest).is_none() {
-                faults.push(format!(
+                errors.push(format!(
                     "{path}/{name}: manifest is not 64 hexadecimal digits"
                 ));
             }
@@ -348,7 +360,7 @@
         }
     }
 
-    /// Every rule's name, value and source, for people.
+    /// Returns the name, value and level of each rule, for display.
     pub fn rows(&self) -> Vec<(&'static str, String, Level)> {
         let favour = self.favour.value.as_str().to_string();
         let mut rows = vec![("favour", favour, self.favour.level)];
@@ -381,14 +393,14 @@
         .unwrap_or(Sourced { value: built_in, level: Level::BuiltIn })
 }
 
-fn check_name(name: &str, faults: &mut Vec<String>) {
-    let is_sound = !name.is_empty()
+fn check_name(name: &str, errors: &mut Vec<String>) {
+    let is_valid = !name.is_empty()
         && name.len() <= 64
         && name
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b));
-    if !is_sound {
-        faults.push(format!(
+    if !is_valid {
+        errors.push(format!(
             "name {name:?}: 1 to 64 letters, digits, - and _ only"
         ));
     }
--- a/crates/raildale-core/src/settings/writer.rs
+++ b/crates/raildale-core/src/settings/writer.rs
@@ -1,72 +1,72 @@
-//! One change of the settings, written once although answers get lost.
+//! Writes one change of the settings at most once, even if responses are lost.
 //!
-//! The change carries an operation id into the object. When the answer to the
-//! conditional update is lost, the object is read back: the id in it, or in
-//! its list of recent ones, says that the write took effect. Without that the
-//! same update is sent again under the same condition, so that it takes
-//! effect once or never.
+//! The object stores the operation id of the change. If the response to the
+//! conditional update is lost, the object is read back: if the id is in its
+//! list of recent operations, the write took effect. Otherwise the same update
+//! is sent again with the same condition, so it takes effect once or not at
+//! all.
 
 use crate::Code;
 
-/// Operation ids that an object remembers.
+/// The number of recent operation ids that an object stores.
 pub const RECENT_OPERATIONS: usize = 64;
 
-/// Reads and writes after which the outcome is left unsettled.
+/// The number of replies after which the writer gives up on the change.
 const MAX_STEPS: u32 = 8;
 
-/// What the platform said.
+/// The platform's reply to a [`Step`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The object as it stands.
+    /// The current state of the object.
     Read {
-        /// The object's version; 0 if there is none.
+        /// The object's revision; 0 if there is no object.
         revision: u64,
-        /// The operations that made this and earlier versions, newest last.
+        /// The ids of the operations that led to this revision, newest last.
         operations: Vec<String>,
     },
     /// The update took effect.
     Written {
-        /// The object's new version.
+        /// The object's new revision.
         revision: u64,
     },
-    /// The object's version was not the expected one.
+    /// The object's revision was not the expected one.
     Conflict,
-    /// No answer, or one that says nothing.
+    /// No response, or one that does not tell the outcome.
     Lost,
 }
 
-/// What to do next.
+/// The next operation of a writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read the object.
     Read,
-    /// Update it if its version is `expected`.
+    /// Update the object if its revision is `expected`.
     Write {
-        /// The version that the change is based on.
+        /// The revision that the change is based on.
         expected: u64,
     },
-    /// Over.
+    /// The change is complete.
     Finished(Outcome),
 }
 
-/// How a change ended.
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It took effect as this revision, or one before it.
+    /// The change took effect at or before this revision.
     Accepted {
-        /// The revision at which the change is known to be in.
+        /// A revision that is known to include the change.
         revision: u64,
     },
-    /// Another change came first; nothing was written.
+    /// Another change was made first; nothing was written.
     Conflict,
     /// Nothing was written.
     NotWritten,
-    /// Nobody can say.
+    /// It is unknown whether the change took effect.
     Unsettled,
 }
 
 impl Outcome {
-    /// The result code that goes with it.
+    /// Returns the matching result code.
     pub fn code(self) -> Code {
         match self {
             Outcome::Accepted { .. } => Code::Accepted,
@@ -77,7 +77,7 @@
     }
 }
 
-/// One change on its way.
+/// The state of one change that is being written.
 #[derive(Debug)]
 pub struct Writer {
     operation: String,
@@ -87,26 +87,28 @@
 }
 
 impl Writer {
-    /// A change with this operation id. `expected` is the revision that its
-    /// author saw; absent, the change goes on top of whatever stands.
+    /// Returns a writer for a change with this operation id. `expected` is the
+    /// revision that the change is based on; `None` bases it on the first
+    /// revision that is read.
     pub fn new(operation: String, expected: Option<u64>) -> Writer {
         Writer { operation, expected, sent: false, steps: 0 }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&self) -> Step {
         Step::Read
     }
 
-    /// The step after `reply`.
+    /// Returns the step that follows `reply`.
     pub fn next(&mut self, reply: Reply) -> Step {
         self.steps += 1;
         match reply {
             Reply::Written { revision } => accepted(revision),
             Reply::Read { revision, operations } => {
-                self.weigh(revision, &operations)
+                self.on_read(revision, &operations)
             }
-            // A conflict may be with our own update whose answer was lost.
+            // The conflict may be with an earlier update of this writer whose
+            // response was lost.
             Reply::Conflict if self.sent => Step::Read,
             Reply::Conflict => Step::Finished(Outcome::Conflict),
             Reply::Lost if self.steps >= MAX_STEPS => self.give_up(),
@@ -114,13 +116,13 @@
         }
     }
 
-    fn weigh(&mut self, revision: u64, operations: &[String]) -> Step {
+    fn on_read(&mut self, revision: u64, operations: &[String]) -> Step {
         if self.sent && operations.contains(&self.operation) {
             return accepted(revision);
         }
         let expected = *self.expected.get_or_insert(revision);
-        // A read may be stale: an older version than the one expected says
-        // nothing about what stands now.
+        // A read may be stale: a revision older than the expected one says
+        // nothing about the current state.
         if revision > expected {
             return Step::Finished(Outcome::Conflict);
         }
