--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -17,7 +17,8 @@
 use crate::{
     Code, Digest, LogEvent, Manifest, Name,
     message::{
-        Body, Entries, Heartbeat, Identity, PeerAddress, Report, SettingsAsk,
+        Body, Entries, Heartbeat, Identity, PeerAddress, Report,
+        SettingsRequest,
     },
     rendezvous,
     request::ledger::{Ledger, LedgerConfig},
@@ -515,7 +516,7 @@
             link.revision = heartbeat.settings_revision;
         }
         if heartbeat.settings_revision > self.revision.in_force() {
-            let ask = Body::SettingsAsk(SettingsAsk {});
+            let ask = Body::SettingsRequest(SettingsRequest {});
             effects.push(Effect::ToEntry(entry.clone(), ask));
         }
     }
--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -479,7 +479,7 @@
             Body::Heartbeat(beat) => {
                 self.agent_revisions.insert(agent, beat.settings_revision);
             }
-            Body::SettingsAsk(_) => {
+            Body::SettingsRequest(_) => {
                 let settings = self.settings_body();
                 effects
                     .extend(settings.map(|body| Effect::ToAgent(agent, body)));
@@ -545,7 +545,7 @@
             Body::Heartbeat(beat) => {
                 self.handle_entry_heartbeat(&entry, beat, effects)
             }
-            Body::SettingsAsk(_) => {
+            Body::SettingsRequest(_) => {
                 let settings = self.settings_body();
                 effects
                     .extend(settings.map(|body| Effect::ToEntry(entry, body)));
--- a/crates/raildale-core/src/entry/settings.rs
+++ b/crates/raildale-core/src/entry/settings.rs
@@ -4,7 +4,7 @@
 use super::{Effect, Entry, STARTUP_LISTEN_MS};
 use crate::{
     Digest, LogEvent, Name,
-    message::{Body, SettingsAsk, SettingsBody},
+    message::{Body, SettingsBody, SettingsRequest},
     rendezvous,
     settings::{Tree, revision::RevisionOrder},
 };
@@ -62,7 +62,7 @@
         entry: Name,
         effects: &mut Vec<Effect>,
     ) {
-        let ask = Body::SettingsAsk(SettingsAsk {});
+        let ask = Body::SettingsRequest(SettingsRequest {});
         effects.push(Effect::ToEntry(entry, ask));
     }
 
--- a/crates/raildale-core/src/message.rs
+++ b/crates/raildale-core/src/message.rs
@@ -119,7 +119,7 @@
     ManifestRequest(ManifestRequest),
     /// Either side: send me the settings you have in force.
     #[prost(message, tag = "30")]
-    SettingsAsk(SettingsAsk),
+    SettingsRequest(SettingsRequest),
     /// Agent to a tracker: another one tracks this spread for me now.
     #[prost(message, tag = "31")]
     Part(Part),
@@ -582,7 +582,7 @@
 
 /// Asks for the settings in force.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct SettingsAsk {}
+pub struct SettingsRequest {}
 
 /// Leaves a tracker.
 #[derive(Clone, PartialEq, Eq, Message)]
