--- a/crates/raildale-core/src/entry/shares.rs
+++ b/crates/raildale-core/src/entry/shares.rs
@@ -7,7 +7,7 @@
 use super::{Effect, Entry};
 use crate::{
     Code, Name,
-    message::{Body, ShareAsk, ShareLease},
+    message::{Body, ShareLease, ShareRequest},
     rendezvous,
     request::admission::Bucket,
 };
@@ -156,14 +156,14 @@
             let key = organisation.as_bytes();
             let owner = rendezvous::owner(key, live.iter());
             let Some(owner) = owner.filter(|_| !is_idle) else { continue };
-            let ask = ShareAsk {
+            let ask = ShareRequest {
                 organisation: organisation.to_string(),
                 demand_per_s: demand + limits.in_progress,
             };
             if *owner == self.config.name {
                 own.push(ask);
             } else {
-                let body = Body::ShareAsk(ask);
+                let body = Body::ShareRequest(ask);
                 effects.push(Effect::ToEntry(owner.clone(), body));
             }
         }
@@ -175,10 +175,10 @@
         }
     }
 
-    pub(super) fn on_share_ask(
+    pub(super) fn on_share_request(
         &mut self,
         entry: Name,
-        ask: ShareAsk,
+        ask: ShareRequest,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
@@ -202,7 +202,7 @@
     fn grant_lease(
         &mut self,
         entry: Name,
-        ask: &ShareAsk,
+        ask: &ShareRequest,
         now_ms: u64,
     ) -> Option<ShareLease> {
         let live = self.live_entries();
--- a/crates/raildale-core/src/message.rs
+++ b/crates/raildale-core/src/message.rs
@@ -104,7 +104,7 @@
     Heartbeat(Heartbeat),
     /// Entry host to the owner of an organisation's limits.
     #[prost(message, tag = "24")]
-    ShareAsk(ShareAsk),
+    ShareRequest(ShareRequest),
     /// The owner's lease of a share of a limit.
     #[prost(message, tag = "25")]
     ShareLease(ShareLease),
@@ -537,7 +537,7 @@
 
 /// Asks for a share of an organisation's limits.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ShareAsk {
+pub struct ShareRequest {
     /// The organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
