--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -3,7 +3,7 @@
 use super::{Agent, Effect, RunOrder};
 use crate::{
     Code, Digest, Name,
-    message::{Body, Cancel, Dispatch, Ended, Known, Piece, Query},
+    message::{Body, Cancel, Dispatch, Ended, Piece, Query, QueryReply},
     request::{
         ledger::{Admission, Candidate, Listener},
         run_key::RunKey,
@@ -175,8 +175,8 @@
                 (code, answer.unwrap_or_default().to_vec())
             }
         };
-        let known = Known { ask: query.ask, code: code.number(), answer };
-        effects.push(Effect::ToEntry(entry, Body::Known(known)));
+        let known = QueryReply { ask: query.ask, code: code.number(), answer };
+        effects.push(Effect::ToEntry(entry, Body::QueryReply(known)));
     }
 
     /// "Not run" is only true of a key that is barred from now on. A key that
--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -500,7 +500,7 @@
             Body::Ended(ended) => {
                 self.on_ended(&agent, ended, now_ms, effects)
             }
-            Body::Known(known) => self.on_known(known, effects),
+            Body::QueryReply(known) => self.on_query_reply(known, effects),
             _ => log_misplaced_frame(&agent, effects),
         }
     }
--- a/crates/raildale-core/src/entry/run_keys.rs
+++ b/crates/raildale-core/src/entry/run_keys.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Entry, FinalResponse, requests::retry_soon};
 use crate::{
     Code, Digest, Name,
-    message::{Body, Known, Query},
+    message::{Body, Query, QueryReply},
     request::{
         dispatch::{Request, Submission},
         run_key::RunKey,
@@ -153,9 +153,9 @@
         Ok(key.agent)
     }
 
-    pub(super) fn on_known(
+    pub(super) fn on_query_reply(
         &mut self,
-        known: Known,
+        known: QueryReply,
         effects: &mut Vec<Effect>,
     ) {
         let Some(ask) = self.pending_queries.remove(&known.ask) else {
--- a/crates/raildale-core/src/message.rs
+++ b/crates/raildale-core/src/message.rs
@@ -98,7 +98,7 @@
     Query(Query),
     /// Agent to entry host: the answer to a [`Query`].
     #[prost(message, tag = "22")]
-    Known(Known),
+    QueryReply(QueryReply),
     /// Either side: still here. Sent when nothing else was.
     #[prost(message, tag = "23")]
     Heartbeat(Heartbeat),
@@ -501,7 +501,7 @@
     /// The run key's text.
     #[prost(string, tag = "1")]
     pub run_key: String,
-    /// Comes back in [`Known`].
+    /// Comes back in [`QueryReply`].
     #[prost(uint64, tag = "2")]
     pub ask: u64,
     /// Whether an unseen key is to be barred from ever running, and a
@@ -512,7 +512,7 @@
 
 /// What an agent knows of a run key.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Known {
+pub struct QueryReply {
     /// The number from the [`Query`].
     #[prost(uint64, tag = "1")]
     pub ask: u64,
