--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -5,7 +5,7 @@
 use super::{Agent, Effect, Scheme, target::ModelState};
 use crate::{
     Digest, LogEvent, Manifest,
-    message::{Body, Grant, Join, Obtained, Part},
+    message::{Body, Grant, Join, LeaveSpread, Obtained},
     settings::tree::Wanted,
     spread::{
         download::{Download, DownloadConfig},
@@ -101,7 +101,8 @@
     ) {
         let Some(download) = self.downloads.remove(&digest) else { return };
         if let Some(tracker) = self.trackers.remove(&digest) {
-            let part = Body::Part(Part { manifest: digest.to_vec() });
+            let part =
+                Body::LeaveSpread(LeaveSpread { manifest: digest.to_vec() });
             effects.push(Effect::ToEntry(tracker, part));
         }
         let kept: BTreeSet<Digest> =
@@ -141,7 +142,9 @@
             download.set_joined(now_ms);
             let before = self.trackers.insert(digest, owner.clone());
             if let Some(before) = before.filter(|_| !is_same) {
-                let part = Body::Part(Part { manifest: digest.to_vec() });
+                let part = Body::LeaveSpread(LeaveSpread {
+                    manifest: digest.to_vec(),
+                });
                 effects.push(Effect::ToEntry(before, part));
                 let detail = owner.to_string();
                 effects.push(Effect::Log(LogEvent::TrackerMoved, detail));
--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -492,7 +492,9 @@
                 self.dispatch_queued(now_ms, effects);
             }
             Body::Join(join) => self.on_join(agent, join, now_ms, effects),
-            Body::Part(part) => self.on_part(&agent, part, now_ms, effects),
+            Body::LeaveSpread(part) => {
+                self.on_leave_spread(&agent, part, now_ms, effects)
+            }
             Body::Obtained(obtained) => {
                 self.on_obtained(&agent, obtained, now_ms, effects)
             }
--- a/crates/raildale-core/src/entry/trackers.rs
+++ b/crates/raildale-core/src/entry/trackers.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Entry, log_misplaced_frame};
 use crate::{
     Digest, LogEvent, Manifest, Name,
-    message::{Body, Grant, Join, ManifestBody, Obtained, Part, View},
+    message::{Body, Grant, Join, LeaveSpread, ManifestBody, Obtained, View},
     settings::tree::Favour,
     spread::tracker::{Told, Tracker},
 };
@@ -80,10 +80,10 @@
         if wants_time { Favour::Time } else { Favour::OriginBytes }
     }
 
-    pub(super) fn on_part(
+    pub(super) fn on_leave_spread(
         &mut self,
         agent: &Name,
-        part: Part,
+        part: LeaveSpread,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
--- a/crates/raildale-core/src/message.rs
+++ b/crates/raildale-core/src/message.rs
@@ -122,7 +122,7 @@
     SettingsRequest(SettingsRequest),
     /// Agent to a tracker: another one tracks this spread for me now.
     #[prost(message, tag = "31")]
-    Part(Part),
+    LeaveSpread(LeaveSpread),
 }
 
 /// Who a process is, as it says itself in the greeting.
@@ -586,7 +586,7 @@
 
 /// Leaves a tracker.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Part {
+pub struct LeaveSpread {
     /// The manifest's digest.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
