--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -452,7 +452,7 @@
 pub enum FleetBody {
     /// An agent asks another for an item.
     #[prost(message, tag = "1")]
-    AskItem(AskItem),
+    ItemRequest(ItemRequest),
     /// The answer.
     #[prost(message, tag = "2")]
     GiveItem(GiveItem),
@@ -469,7 +469,7 @@
 
 /// A question for a manifest or chunk.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct AskItem {
+pub struct ItemRequest {
     /// Names the question on its connection.
     #[prost(uint64, tag = "1")]
     pub question: u64,
--- a/crates/raildale/src/fleet/agent/links.rs
+++ b/crates/raildale/src/fleet/agent/links.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use raildale_core::{
-    fleet_message::{AskItem, FleetBody, GiveItem, TookSlice},
+    fleet_message::{FleetBody, GiveItem, ItemRequest, TookSlice},
     swarm::{Event, FetchError, Item, Source, WeightDigest},
 };
 use tokio::{net::TcpStream, sync::mpsc};
@@ -183,7 +183,7 @@
         Item::Manifest => None,
         Item::Chunk(index) => Some(index),
     };
-    frames::encode_body(FleetBody::AskItem(AskItem {
+    frames::encode_body(FleetBody::ItemRequest(ItemRequest {
         question: number,
         version: question.version,
         chunk,
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -4,7 +4,7 @@
 
 use futures_util::StreamExt;
 use raildale_core::{
-    fleet_message::{AskItem, FleetBody},
+    fleet_message::{FleetBody, ItemRequest},
     swarm::{Event, Item, Ticket, reducer::Content},
 };
 use tokio::{
@@ -102,7 +102,7 @@
                 .map_err(Error::from)
                 .and_then(|frame| frames::decode_frame(frame.freeze()));
             match body {
-                Ok(FleetBody::AskItem(ask)) => self.take(ask, answers),
+                Ok(FleetBody::ItemRequest(ask)) => self.take(ask, answers),
                 Ok(FleetBody::TookSlice(_)) => window.note_taken(),
                 Ok(_) => {
                     log::warn!("agent {from}: a frame out of place");
@@ -116,7 +116,7 @@
         }
     }
 
-    fn take(&self, ask: AskItem, answers: &Answers) {
+    fn take(&self, ask: ItemRequest, answers: &Answers) {
         let ticket = {
             let mut open = self.open.borrow_mut();
             open.last += 1;
@@ -130,7 +130,7 @@
             ticket
         };
         let item = ask.chunk.map_or(Item::Manifest, Item::Chunk);
-        let AskItem { version, hops, .. } = ask;
+        let ItemRequest { version, hops, .. } = ask;
         // The loop that takes events ends with the process only.
         let _ = self.events.send(Event::Asked { ticket, version, item, hops });
     }
