--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -455,7 +455,7 @@
     ItemRequest(ItemRequest),
     /// The answer.
     #[prost(message, tag = "2")]
-    GiveItem(GiveItem),
+    ItemResponse(ItemResponse),
     /// An entry host asks another for a kind of object.
     #[prost(message, tag = "3")]
     AskSnapshot(AskSnapshot),
@@ -486,7 +486,7 @@
 
 /// A manifest or a slice of a chunk, or that it is not to be had.
 #[derive(Clone, PartialEq, Message)]
-pub struct GiveItem {
+pub struct ItemResponse {
     /// Names the question.
     #[prost(uint64, tag = "1")]
     pub question: u64,
--- a/crates/raildale/src/fleet/agent/answering.rs
+++ b/crates/raildale/src/fleet/agent/answering.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use raildale_core::{
-    fleet_message::{FleetBody, GiveItem},
+    fleet_message::{FleetBody, ItemResponse},
     swarm::{WeightDigest, reducer::Content},
 };
 use tokio::{
@@ -129,7 +129,8 @@
         let link = self.link.clone();
         let mut turn = link.turns.acquire().await;
         let waited_ms = now_ms().saturating_sub(asked_ms);
-        let mut give = GiveItem { question, waited_ms, ..GiveItem::default() };
+        let mut give =
+            ItemResponse { question, waited_ms, ..ItemResponse::default() };
         let mut chunk = match content {
             Content::Chunk(data) => data,
             Content::Manifest(digests) => {
@@ -148,18 +149,19 @@
             }
             let left_bytes = chunk.len() as u32;
             let chunk = Some(slice);
-            self.send(GiveItem { chunk, left_bytes, ..give.clone() }).await?;
+            self.send(ItemResponse { chunk, left_bytes, ..give.clone() })
+                .await?;
             if left_bytes == 0 {
                 return Ok(());
             }
         }
     }
 
-    async fn send(&mut self, give: GiveItem) -> std::io::Result<()> {
+    async fn send(&mut self, give: ItemResponse) -> std::io::Result<()> {
         let bytes = give.chunk.as_ref().map_or(0, Bytes::len);
         self.link.pacer.wait(bytes).await;
-        let give = GiveItem { sent_ms: now_ms(), ..give };
-        let frame = frames::encode_frame(FleetBody::GiveItem(give));
+        let give = ItemResponse { sent_ms: now_ms(), ..give };
+        let frame = frames::encode_frame(FleetBody::ItemResponse(give));
         self.write.write_all(&frame).await
     }
 }
--- a/crates/raildale/src/fleet/agent/links.rs
+++ b/crates/raildale/src/fleet/agent/links.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use raildale_core::{
-    fleet_message::{FleetBody, GiveItem, ItemRequest, TookSlice},
+    fleet_message::{FleetBody, ItemRequest, ItemResponse, TookSlice},
     swarm::{Event, FetchError, Item, Source, WeightDigest},
 };
 use tokio::{net::TcpStream, sync::mpsc};
@@ -137,7 +137,7 @@
             }
             frame = framed.next() => {
                 let Some(frame) = frame else { return Ok(()) };
-                let Ok(FleetBody::GiveItem(give)) =
+                let Ok(FleetBody::ItemResponse(give)) =
                     frames::decode_frame(frame?.freeze())
                 else {
                     log::warn!("agent {address}: a frame out of place");
@@ -162,8 +162,8 @@
 /// Takes a slice in; the whole answer once there is no more to come.
 fn whole(
     asked: &mut HashMap<u64, Asked>,
-    give: GiveItem,
-) -> Option<(Question, GiveItem)> {
+    give: ItemResponse,
+) -> Option<(Question, ItemResponse)> {
     let known = asked.get_mut(&give.question)?;
     known.chunk.extend(give.chunk.iter().flatten());
     if give.left_bytes > 0 {
@@ -171,7 +171,7 @@
     }
     let Asked { question, chunk } = asked.remove(&give.question)?;
     let chunk = give.chunk.is_some().then(|| chunk.freeze());
-    Some((question, GiveItem { chunk, ..give }))
+    Some((question, ItemResponse { chunk, ..give }))
 }
 
 fn took_slice() -> Bytes {
@@ -191,7 +191,7 @@
     }))
 }
 
-fn came(question: Question, source: Source, give: GiveItem) -> Event {
+fn came(question: Question, source: Source, give: ItemResponse) -> Event {
     let version = question.version;
     match question.item {
         Item::Manifest => Event::Manifest {
