--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -458,7 +458,7 @@
     ItemResponse(ItemResponse),
     /// An entry host asks another for a kind of object.
     #[prost(message, tag = "3")]
-    AskSnapshot(AskSnapshot),
+    SnapshotRequest(SnapshotRequest),
     /// The answer.
     #[prost(message, tag = "4")]
     GiveSnapshot(GiveSnapshot),
@@ -513,7 +513,7 @@
 
 /// A question for all objects of a kind.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct AskSnapshot {
+pub struct SnapshotRequest {
     /// The kind's number.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -17,7 +17,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::{Extent, Kind, Stamp},
-    fleet_message::{AskSnapshot, FleetBody, GiveSnapshot},
+    fleet_message::{FleetBody, GiveSnapshot, SnapshotRequest},
 };
 use tokio::{
     io::{AsyncRead, AsyncWriteExt},
@@ -97,7 +97,7 @@
 {
     let mut framed = Framed::new(&mut stream, codec::splitter());
     let kind = match next_body(&mut framed).await? {
-        FleetBody::AskSnapshot(ask) => Kind::from_number(ask.kind)
+        FleetBody::SnapshotRequest(ask) => Kind::from_number(ask.kind)
             .ok_or(Error::new(ErrorKind::Frame, "no such kind"))?,
         _ => return Err(Error::new(ErrorKind::Frame, "out of place")),
     };
@@ -198,7 +198,8 @@
 async fn fetch(from: SocketAddr, kind: Kind) -> Result<GiveSnapshot, Error> {
     let stream = frames::connect(from).await?;
     let mut framed = Framed::new(stream, codec::splitter());
-    let ask = FleetBody::AskSnapshot(AskSnapshot { kind: kind.number() });
+    let ask =
+        FleetBody::SnapshotRequest(SnapshotRequest { kind: kind.number() });
     framed.send(frames::encode_body(ask)).await?;
     match next_body(&mut framed).await? {
         FleetBody::GiveSnapshot(give) => Ok(give),
