--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -461,7 +461,7 @@
     SnapshotRequest(SnapshotRequest),
     /// The answer.
     #[prost(message, tag = "4")]
-    GiveSnapshot(GiveSnapshot),
+    SnapshotResponse(SnapshotResponse),
     /// A slice of a chunk has come.
     #[prost(message, tag = "5")]
     TookSlice(TookSlice),
@@ -521,7 +521,7 @@
 
 /// All objects of a kind.
 #[derive(Clone, PartialEq, Message)]
-pub struct GiveSnapshot {
+pub struct SnapshotResponse {
     /// The kind's number.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -17,7 +17,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::{Extent, Kind, Stamp},
-    fleet_message::{FleetBody, GiveSnapshot, SnapshotRequest},
+    fleet_message::{FleetBody, SnapshotRequest, SnapshotResponse},
 };
 use tokio::{
     io::{AsyncRead, AsyncWriteExt},
@@ -102,13 +102,13 @@
         _ => return Err(Error::new(ErrorKind::Frame, "out of place")),
     };
     let give = give(host, kind)?;
-    let frame = frames::encode_frame(FleetBody::GiveSnapshot(give));
+    let frame = frames::encode_frame(FleetBody::SnapshotResponse(give));
     stream.write_all(&frame).await?;
     Ok(())
 }
 
 /// What is known of a kind, for another entry host.
-fn give<P>(host: &EntryHost<P>, kind: Kind) -> Result<GiveSnapshot, Error>
+fn give<P>(host: &EntryHost<P>, kind: Kind) -> Result<SnapshotResponse, Error>
 where
     P: Dialect + Store + 'static,
 {
@@ -123,7 +123,7 @@
     let Stamp { era, revision } = snapshot.stamp;
     let Extent { changed, oldest_era } = host.known.extent(kind);
     let packed = host.packed.borrow_mut().pack(kind, snapshot)?;
-    Ok(GiveSnapshot {
+    Ok(SnapshotResponse {
         kind: kind.number(),
         revision,
         changed_revision: changed.revision,
@@ -176,7 +176,7 @@
     host: &EntryHost<P>,
     ip: IpAddr,
     kind: Kind,
-    give: GiveSnapshot,
+    give: SnapshotResponse,
 ) -> Result<(), Error>
 where
     P: Dialect + Store + 'static,
@@ -195,14 +195,17 @@
     Ok(())
 }
 
-async fn fetch(from: SocketAddr, kind: Kind) -> Result<GiveSnapshot, Error> {
+async fn fetch(
+    from: SocketAddr,
+    kind: Kind,
+) -> Result<SnapshotResponse, Error> {
     let stream = frames::connect(from).await?;
     let mut framed = Framed::new(stream, codec::splitter());
     let ask =
         FleetBody::SnapshotRequest(SnapshotRequest { kind: kind.number() });
     framed.send(frames::encode_body(ask)).await?;
     match next_body(&mut framed).await? {
-        FleetBody::GiveSnapshot(give) => Ok(give),
+        FleetBody::SnapshotResponse(give) => Ok(give),
         _ => Err(Error::new(ErrorKind::Frame, "out of place")),
     }
 }
