--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -464,7 +464,7 @@
     SnapshotResponse(SnapshotResponse),
     /// A slice of a chunk has come.
     #[prost(message, tag = "5")]
-    TookSlice(TookSlice),
+    SliceAck(SliceAck),
 }
 
 /// A question for a manifest or chunk.
@@ -509,7 +509,7 @@
 
 /// That a slice of a chunk has come, so that another one may leave.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct TookSlice {}
+pub struct SliceAck {}
 
 /// A question for all objects of a kind.
 #[derive(Clone, Copy, PartialEq, Message)]
--- a/crates/raildale/src/fleet/agent/links.rs
+++ b/crates/raildale/src/fleet/agent/links.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use raildale_core::{
-    fleet_message::{FleetBody, ItemRequest, ItemResponse, TookSlice},
+    fleet_message::{FleetBody, ItemRequest, ItemResponse, SliceAck},
     swarm::{Event, FetchError, Item, Source, WeightDigest},
 };
 use tokio::{net::TcpStream, sync::mpsc};
@@ -175,7 +175,7 @@
 }
 
 fn took_slice() -> Bytes {
-    frames::encode_body(FleetBody::TookSlice(TookSlice {}))
+    frames::encode_body(FleetBody::SliceAck(SliceAck {}))
 }
 
 fn ask_frame(number: u64, question: Question) -> Bytes {
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -103,7 +103,7 @@
                 .and_then(|frame| frames::decode_frame(frame.freeze()));
             match body {
                 Ok(FleetBody::ItemRequest(ask)) => self.take(ask, answers),
-                Ok(FleetBody::TookSlice(_)) => window.note_taken(),
+                Ok(FleetBody::SliceAck(_)) => window.note_taken(),
                 Ok(_) => {
                     log::warn!("agent {from}: a frame out of place");
                     return;
