--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -35,7 +35,7 @@
     Report(Report),
     /// An agent that nobody has briefed yet to an entry host.
     #[prost(message, tag = "4")]
-    AskBriefing(AskBriefing),
+    BriefingRequest(BriefingRequest),
     /// A relay of a data centre to those of the others, and these to their
     /// neighbours.
     #[prost(message, tag = "5")]
@@ -298,7 +298,7 @@
 /// A question for a briefing: entry hosts brief agents of their own accord
 /// only once the agent's target is listed, about a second after its start.
 #[derive(Clone, PartialEq, Message)]
-pub struct AskBriefing {
+pub struct BriefingRequest {
     /// The service of the agent's target.
     #[prost(string, tag = "1")]
     pub service: String,
--- a/crates/raildale/src/fleet/agent/reports.rs
+++ b/crates/raildale/src/fleet/agent/reports.rs
@@ -10,7 +10,7 @@
 
 use raildale_core::{
     Name,
-    fleet_message::{AskBriefing, Briefing, Note, Report},
+    fleet_message::{Briefing, BriefingRequest, Note, Report},
     gateway::TargetReport,
     swarm::{Event, Peer, QueueDelay},
 };
@@ -104,8 +104,12 @@
 
     /// Asks the entry hosts at `seeds` for a briefing until one comes: the
     /// others know of this agent only once its target is listed.
-    pub async fn introduce(self, seeds: Vec<SocketAddr>, ask: AskBriefing) {
-        let note = frames::encode_note(Note::AskBriefing(ask));
+    pub async fn introduce(
+        self,
+        seeds: Vec<SocketAddr>,
+        ask: BriefingRequest,
+    ) {
+        let note = frames::encode_note(Note::BriefingRequest(ask));
         let mut pause = ASK_AGAIN;
         while !self.is_briefed.get() {
             for seed in &seeds {
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -4,7 +4,7 @@
 
 use raildale_core::{
     LogEvent, Name,
-    fleet_message::AskBriefing,
+    fleet_message::BriefingRequest,
     gateway::TargetNotice,
     swarm::{
         Effect, Event, Item, LoadMethod, OrderGuard, OrderOutcome, Source,
@@ -310,7 +310,7 @@
 /// Starts asking the seeds for the first briefing.
 fn introduce(reports: &Reports, node: &NodeSettings, service: &str) {
     let seeds = node.seed_entry_hosts().collect();
-    let ask = AskBriefing {
+    let ask = BriefingRequest {
         service: service.to_string(),
         data_centre: node.data_centre.clone(),
     };
--- a/crates/raildale/src/fleet/entry/briefings.rs
+++ b/crates/raildale/src/fleet/entry/briefings.rs
@@ -4,7 +4,7 @@
 
 use raildale_core::{
     Name,
-    fleet_message::{AgentEntry, AskBriefing, Briefing, Named, Note},
+    fleet_message::{AgentEntry, Briefing, BriefingRequest, Named, Note},
     gateway::{Routing, Service},
 };
 
@@ -94,7 +94,7 @@
 pub fn one<P>(
     host: &EntryHost<P>,
     ip: IpAddr,
-    ask: &AskBriefing,
+    ask: &BriefingRequest,
 ) -> Option<Vec<u8>>
 where
     P: Dialect + Store + 'static,
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -70,7 +70,7 @@
                 }
             }
             (Note::Report(report), from) => take_report(&host, from, report),
-            (Note::AskBriefing(ask), from) => {
+            (Note::BriefingRequest(ask), from) => {
                 if let Some(note) = briefings::one(&host, from.ip(), &ask) {
                     send(&socket, &note, from).await;
                 }
