--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -80,7 +80,7 @@
     pub suspects: Vec<ToldSuspect>,
     /// What starts of targets say of themselves, the latest first.
     #[prost(message, repeated, tag = "11")]
-    pub notices: Vec<ToldNotice>,
+    pub notices: Vec<NoticeEntry>,
     /// The store's eras that the revisions belong to, in the same order; 0
     /// for those that are missing.
     #[prost(uint64, repeated, tag = "12")]
@@ -119,7 +119,7 @@
 
 /// What a start of a target says of itself.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct ToldNotice {
+pub struct NoticeEntry {
     /// Names the start.
     #[prost(fixed64, tag = "1")]
     pub start: u64,
--- a/crates/raildale-core/src/gateway/notices/told.rs
+++ b/crates/raildale-core/src/gateway/notices/told.rs
@@ -3,7 +3,7 @@
 use std::{cmp::Reverse, net::IpAddr};
 
 use super::{ENDED_TOLD_MS, Known, NoticeNews, Notices};
-use crate::{fleet_message::ToldNotice, gateway::ends::StartId};
+use crate::{fleet_message::NoticeEntry, gateway::ends::StartId};
 
 /// How long it is told that a start leaves, in milliseconds: most are gone by
 /// then, and whoever it answers hears it anew.
@@ -16,13 +16,13 @@
     /// What others are to know, the latest first. A limit is told from
     /// whomever it is known, so that it outlasts those who heard it; that a
     /// start leaves, by those that it has told itself.
-    pub fn told(&self, now_ms: u64) -> Vec<ToldNotice> {
+    pub fn told(&self, now_ms: u64) -> Vec<NoticeEntry> {
         let mut due: Vec<(&StartId, &Known)> =
             self.by_start.iter().filter(|(_, k)| is_due(now_ms, k)).collect();
         due.sort_unstable_by_key(|(start, known)| {
             (Reverse(known.limit.said_ms), **start)
         });
-        let tell = |(start, known): (&StartId, &Known)| ToldNotice {
+        let tell = |(start, known): (&StartId, &Known)| NoticeEntry {
             start: start.0,
             limit_per_s: known.limit.per_s,
             age_ms: now_ms.saturating_sub(known.limit.said_ms),
@@ -41,7 +41,7 @@
         &mut self,
         now_ms: u64,
         from: IpAddr,
-        told: &ToldNotice,
+        told: &NoticeEntry,
     ) -> Vec<NoticeNews> {
         let mut news = Vec::new();
         let start = StartId(told.start);
--- a/crates/raildale-core/tests/target_leaving.rs
+++ b/crates/raildale-core/tests/target_leaving.rs
@@ -13,7 +13,7 @@
 use raildale_core::{
     Name,
     catalog::Stamp,
-    fleet_message::ToldNotice,
+    fleet_message::NoticeEntry,
     gateway::{
         Admission, Gateway, GatewayConfig, Outcome, RequestHead, Route,
         RouteKind, Routing, Service, TargetNotice, TargetReport, TargetSpec,
@@ -317,10 +317,10 @@
     let mut gateway = gateway(2);
     let from = IpAddr::from([10, 1, 0, 1]);
     for number in [0, 1] {
-        let told = ToldNotice {
+        let told = NoticeEntry {
             start: start(number).0,
             is_leaving: true,
-            ..ToldNotice::default()
+            ..NoticeEntry::default()
         };
         gateway.targets.notices.take_told(START_MS, from, &told);
         let to = goes_to(&mut gateway, START_MS, "/");
--- a/crates/raildale-core/tests/target_limit.rs
+++ b/crates/raildale-core/tests/target_limit.rs
@@ -14,7 +14,7 @@
     GRACE_MS, RUN_MS, START_MS, STEP_MS, Trouble, World, head, spec,
 };
 use raildale_core::{
-    fleet_message::ToldNotice,
+    fleet_message::NoticeEntry,
     gateway::{
         NoticeNews, TargetNotice, TargetSpec,
         ends::StartId,
@@ -172,7 +172,7 @@
     notices.note(now_ms, start, now_ms - 50, limited);
     let news = notices.note(now_ms + 10, start, now_ms - 40, silent);
     assert_eq!(news, []);
-    let told = ToldNotice { start: 7, age_ms: 500, ..ToldNotice::default() };
+    let told = NoticeEntry { start: 7, age_ms: 500, ..NoticeEntry::default() };
     let from = IpAddr::from([10, 1, 0, 1]);
     notices.take_told(now_ms + 20, from, &told);
     assert_eq!(notices.limit_per_s(start), Some(2.0));
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -4,7 +4,7 @@
 
 use raildale_core::{
     LogEvent,
-    fleet_message::ToldNotice,
+    fleet_message::NoticeEntry,
     gateway::{NoticeNews, TargetNotice},
 };
 
@@ -55,7 +55,7 @@
     }
 
     /// Takes in what the entry host at `from` tells.
-    pub fn take_told_notices(&self, from: IpAddr, told: Vec<ToldNotice>) {
+    pub fn take_told_notices(&self, from: IpAddr, told: Vec<NoticeEntry>) {
         let now = now_ms();
         for one in told {
             let mut gateway = self.gateway.borrow_mut();
