--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -77,7 +77,7 @@
     pub demand_per_s: f32,
     /// Requests that may end the targets that run them, the weightiest first.
     #[prost(message, repeated, tag = "10")]
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectEntry>,
     /// What starts of targets say of themselves, the latest first.
     #[prost(message, repeated, tag = "11")]
     pub notices: Vec<NoticeEntry>,
@@ -140,7 +140,7 @@
 
 /// A request that may end the targets that run it.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldSuspect {
+pub struct SuspectEntry {
     /// Names the caller's key.
     #[prost(fixed32, tag = "1")]
     pub caller: u32,
--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -3,7 +3,7 @@
 
 use super::{Quarantine, SURE_LOSSES, SUSPECT_KEPT_MS};
 use crate::{
-    fleet_message::{ToldLoss, ToldSuspect},
+    fleet_message::{SuspectEntry, ToldLoss},
     gateway::{ends::StartId, fingerprint::Fingerprint},
 };
 
@@ -64,7 +64,7 @@
             let age_ms = unix_ms.saturating_sub(at_unix_ms);
             ToldLoss { start: start.0, age_ms, is_cut: false }
         });
-        let told = ToldSuspect {
+        let told = SuspectEntry {
             caller: record.fingerprint.caller,
             request: record.fingerprint.request,
             losses: losses.collect(),
--- a/crates/raildale-core/src/gateway/quarantine/told.rs
+++ b/crates/raildale-core/src/gateway/quarantine/told.rs
@@ -2,7 +2,7 @@
 
 use super::{CLEARED_KEPT_MS, Quarantine, Suspect};
 use crate::{
-    fleet_message::{ToldLoss, ToldSuspect},
+    fleet_message::{SuspectEntry, ToldLoss},
     gateway::{ends::StartId, fingerprint::Fingerprint},
 };
 
@@ -12,7 +12,7 @@
 impl Quarantine {
     /// What others are to know, the weightiest first: all that is known here,
     /// from whomever, so that it outlasts those who saw it.
-    pub fn told(&self, now_ms: u64) -> Vec<ToldSuspect> {
+    pub fn told(&self, now_ms: u64) -> Vec<SuspectEntry> {
         let mut ranked: Vec<(Rank, &Fingerprint, &Suspect)> = self
             .suspects
             .iter()
@@ -27,7 +27,7 @@
     }
 
     /// Takes in what another entry host tells.
-    pub fn take_told(&mut self, now_ms: u64, told: Vec<ToldSuspect>) {
+    pub fn take_told(&mut self, now_ms: u64, told: Vec<SuspectEntry>) {
         let mut is_news = false;
         for suspect in told {
             is_news |= self.merge(now_ms, suspect);
@@ -39,7 +39,7 @@
     }
 
     /// Merges what is told of one suspect; says whether any of it is news.
-    fn merge(&mut self, now_ms: u64, told: ToldSuspect) -> bool {
+    fn merge(&mut self, now_ms: u64, told: SuspectEntry) -> bool {
         let fingerprint =
             Fingerprint { caller: told.caller, request: told.request };
         let known = self.suspects.entry(fingerprint).or_default();
@@ -73,13 +73,13 @@
     now_ms: u64,
     fingerprint: Fingerprint,
     suspect: &Suspect,
-) -> ToldSuspect {
+) -> SuspectEntry {
     let losses = suspect.losses().iter().map(|loss| ToldLoss {
         start: loss.start.0,
         age_ms: now_ms.saturating_sub(loss.at_ms),
         is_cut: loss.is_cut,
     });
-    ToldSuspect {
+    SuspectEntry {
         caller: fingerprint.caller,
         request: fingerprint.request,
         losses: losses.collect(),
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -1,7 +1,7 @@
 //! Which requests are kept from targets, and who knows of it, case by case.
 
 use raildale_core::{
-    fleet_message::ToldSuspect,
+    fleet_message::SuspectEntry,
     gateway::{
         Fingerprint,
         ends::StartId,
@@ -238,7 +238,7 @@
         end(host, at_ms, number, &[deadly()]);
     }
     let now_ms = START_MS + 3 * APART_MS;
-    let told: Vec<Vec<ToldSuspect>> =
+    let told: Vec<Vec<SuspectEntry>> =
         hosts.iter().map(|host| host.told(now_ms)).collect();
     for host in &mut hosts {
         for told in &told {
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -5,7 +5,7 @@
 use raildale_core::{
     LogEvent,
     catalog::StoredObject,
-    fleet_message::ToldSuspect,
+    fleet_message::SuspectEntry,
     gateway::{Fingerprint, quarantine::Record},
 };
 
@@ -34,7 +34,7 @@
     }
 
     /// Takes in what another entry host tells of suspects.
-    pub fn take_told_suspects(&self, told: Vec<ToldSuspect>) {
+    pub fn take_told_suspects(&self, told: Vec<SuspectEntry>) {
         if told.is_empty() {
             return;
         }
