--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -149,7 +149,7 @@
     pub request: u64,
     /// The starts of targets that ended while it was there.
     #[prost(message, repeated, tag = "3")]
-    pub losses: Vec<ToldLoss>,
+    pub losses: Vec<LossEntry>,
     /// Milliseconds since a target answered it; none if none did.
     #[prost(uint64, optional, tag = "4")]
     pub cleared_age_ms: Option<u64>,
@@ -157,7 +157,7 @@
 
 /// A start of a target that ended while a request was there.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct ToldLoss {
+pub struct LossEntry {
     /// Names the start.
     #[prost(fixed64, tag = "1")]
     pub start: u64,
--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -3,7 +3,7 @@
 
 use super::{Quarantine, SURE_LOSSES, SUSPECT_KEPT_MS};
 use crate::{
-    fleet_message::{SuspectEntry, ToldLoss},
+    fleet_message::{LossEntry, SuspectEntry},
     gateway::{ends::StartId, fingerprint::Fingerprint},
 };
 
@@ -62,7 +62,7 @@
     pub fn take_record(&mut self, now_ms: u64, unix_ms: u64, record: Record) {
         let losses = record.losses.into_iter().map(|(start, at_unix_ms)| {
             let age_ms = unix_ms.saturating_sub(at_unix_ms);
-            ToldLoss { start: start.0, age_ms, is_cut: false }
+            LossEntry { start: start.0, age_ms, is_cut: false }
         });
         let told = SuspectEntry {
             caller: record.fingerprint.caller,
--- a/crates/raildale-core/src/gateway/quarantine/told.rs
+++ b/crates/raildale-core/src/gateway/quarantine/told.rs
@@ -2,7 +2,7 @@
 
 use super::{CLEARED_KEPT_MS, Quarantine, Suspect};
 use crate::{
-    fleet_message::{SuspectEntry, ToldLoss},
+    fleet_message::{LossEntry, SuspectEntry},
     gateway::{ends::StartId, fingerprint::Fingerprint},
 };
 
@@ -74,7 +74,7 @@
     fingerprint: Fingerprint,
     suspect: &Suspect,
 ) -> SuspectEntry {
-    let losses = suspect.losses().iter().map(|loss| ToldLoss {
+    let losses = suspect.losses().iter().map(|loss| LossEntry {
         start: loss.start.0,
         age_ms: now_ms.saturating_sub(loss.at_ms),
         is_cut: loss.is_cut,
