--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -550,12 +550,12 @@
     pub oldest_era: Option<u64>,
     /// Starts of targets that have left the list of late.
     #[prost(message, repeated, tag = "9")]
-    pub departed: Vec<ToldDeparture>,
+    pub departed: Vec<DepartureEntry>,
 }
 
 /// A start of a target that has left the list.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct ToldDeparture {
+pub struct DepartureEntry {
     /// Names the start.
     #[prost(fixed64, tag = "1")]
     pub start: u64,
@@ -576,7 +576,7 @@
     pub copied_revision: u64,
 }
 
-impl ToldDeparture {
+impl DepartureEntry {
     /// Its entry in a restored copy.
     pub fn copied(&self) -> Option<Stamp> {
         let revision = self.copied_revision;
--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    catalog::Stamp, fleet_message::ToldDeparture, gateway::ends::StartId,
+    catalog::Stamp, fleet_message::DepartureEntry, gateway::ends::StartId,
 };
 
 /// How long a departure is remembered, in milliseconds. The longest that a
@@ -80,11 +80,11 @@
     }
 
     /// All of it, for another entry host.
-    pub fn told(&self, now_ms: u64) -> Vec<ToldDeparture> {
+    pub fn told(&self, now_ms: u64) -> Vec<DepartureEntry> {
         let told = |(start, departure): (&StartId, &Departure)| {
             let Stamp { era, revision } = departure.gone;
             let age_ms = now_ms.saturating_sub(departure.at_ms);
-            ToldDeparture {
+            DepartureEntry {
                 start: start.0,
                 era,
                 revision,
@@ -97,7 +97,7 @@
     }
 
     /// Takes in what another entry host tells.
-    pub fn take_told(&mut self, now_ms: u64, told: Vec<ToldDeparture>) {
+    pub fn take_told(&mut self, now_ms: u64, told: Vec<DepartureEntry>) {
         for one in told {
             let start = StartId(one.start);
             let departure = Departure {
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -3,7 +3,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::{Kind, Progress, Snapshot, Stamp, StoredObject},
-    fleet_message::ToldDeparture,
+    fleet_message::DepartureEntry,
     gateway::ends::StartId,
 };
 
@@ -84,13 +84,13 @@
     }
 
     /// Starts of targets that have left the list, for another entry host.
-    pub fn departed(&self) -> Vec<ToldDeparture> {
+    pub fn departed(&self) -> Vec<DepartureEntry> {
         self.gateway.borrow().targets.departed.told(now_ms())
     }
 
     /// Takes in which starts have left the list, as another entry host tells;
     /// those whose entries are copies are targets no more.
-    pub fn take_departed(&self, told: Vec<ToldDeparture>) {
+    pub fn take_departed(&self, told: Vec<DepartureEntry>) {
         if told.is_empty() {
             return;
         }
