--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -67,7 +67,7 @@
     /// The versions that bound what may start, and how long ago they were
     /// named: whoever has just started, or was frozen, cannot know.
     #[prost(message, repeated, tag = "7")]
-    pub versions: Vec<ToldVersion>,
+    pub versions: Vec<ModelVersionAge>,
     /// Milliseconds since the store last told some entry host which versions
     /// are named, as the sender knows.
     #[prost(uint64, optional, tag = "8")]
@@ -244,7 +244,7 @@
 
 /// A version of a model and how long ago it was named.
 #[derive(Clone, PartialEq, Message)]
-pub struct ToldVersion {
+pub struct ModelVersionAge {
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -4,7 +4,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::{Change, Extent, Kind, Snapshot, Stamp, StoredObject},
-    fleet_message::ToldVersion,
+    fleet_message::ModelVersionAge,
     gateway::{
         Target,
         ends::StartId,
@@ -122,11 +122,11 @@
     /// the store told which are named.
     pub fn take_told_versions(
         &self,
-        told: Vec<ToldVersion>,
+        told: Vec<ModelVersionAge>,
         heard_age_ms: Option<u64>,
     ) {
         let now = now_ms();
-        for ToldVersion { model, version, age_ms } in told {
+        for ModelVersionAge { model, version, age_ms } in told {
             let named_ms = now.saturating_sub(age_ms);
             let named = NamedVersion { version, named_ms };
             let from = "from=entry host";
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -11,7 +11,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::Kind,
-    fleet_message::{Hello, Note, Report, ToldVersion},
+    fleet_message::{Hello, ModelVersionAge, Note, Report},
     members::{Heartbeat, MemberEntry},
 };
 use tokio::net::UdpSocket;
@@ -308,7 +308,7 @@
 }
 
 /// What a heartbeat tells of versions.
-fn told_versions<P>(host: &EntryHost<P>) -> Vec<ToldVersion>
+fn told_versions<P>(host: &EntryHost<P>) -> Vec<ModelVersionAge>
 where
     P: Dialect + Store + 'static,
 {
@@ -316,7 +316,7 @@
     let bounding = host.gateway.borrow().bounding_versions(now);
     bounding
         .into_iter()
-        .map(|(model, named)| ToldVersion {
+        .map(|(model, named)| ModelVersionAge {
             model: model.to_string(),
             version: named.version,
             age_ms: now.saturating_sub(named.named_ms),
