--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -267,7 +267,7 @@
     pub may_cut: bool,
     /// Versions that were named, oldest first.
     #[prost(message, repeated, tag = "3")]
-    pub versions: Vec<Named>,
+    pub versions: Vec<VersionAge>,
     /// The agents of the service.
     #[prost(message, repeated, tag = "4")]
     pub agents: Vec<AgentEntry>,
@@ -309,7 +309,7 @@
 
 /// A version and how long ago it was named.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Named {
+pub struct VersionAge {
     /// Its number.
     #[prost(uint64, tag = "1")]
     pub version: u64,
--- a/crates/raildale/src/fleet/entry/briefings.rs
+++ b/crates/raildale/src/fleet/entry/briefings.rs
@@ -4,7 +4,7 @@
 
 use raildale_core::{
     Name,
-    fleet_message::{AgentEntry, Briefing, BriefingRequest, Named, Note},
+    fleet_message::{AgentEntry, Briefing, BriefingRequest, Note, VersionAge},
     gateway::{Routing, Service},
 };
 
@@ -231,7 +231,7 @@
 }
 
 /// The versions of a service's models that were named, and how long ago.
-fn named<P>(host: &EntryHost<P>, service: &Service) -> Vec<Named> {
+fn named<P>(host: &EntryHost<P>, service: &Service) -> Vec<VersionAge> {
     let now = now_ms();
     let models = service.engine.as_ref().map_or(&[][..], |e| &e.models);
     let gateway = host.gateway.borrow();
@@ -239,7 +239,7 @@
         .versions()
         .filter(|(model, _)| models.contains(model))
         .flat_map(|(_, versions)| versions)
-        .map(|v| Named {
+        .map(|v| VersionAge {
             version: v.version,
             age_ms: now.saturating_sub(v.named_ms),
         })
