--- a/crates/raildale-core/src/chunk_set.rs
+++ b/crates/raildale-core/src/chunk_set.rs
@@ -1,6 +1,6 @@
-//! A set of chunk indices, one bit each.
+//! A set of chunk indices, stored as a bitmap.
 
-/// Which chunks of one manifest somebody holds.
+/// A set of chunks of one manifest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChunkSet {
     bits: Vec<u8>,
@@ -8,12 +8,12 @@
 }
 
 impl ChunkSet {
-    /// An empty set.
+    /// Returns an empty set.
     pub fn new() -> ChunkSet {
         ChunkSet::default()
     }
 
-    /// Reads a bitmap from a message, dropping bits at or beyond `len`.
+    /// Reads a bitmap, low bit first, and ignores bits at or beyond `len`.
     pub fn from_bitmap(bitmap: &[u8], len: usize) -> ChunkSet {
         let mut set = ChunkSet::new();
         for index in 0..len.min(bitmap.len() * 8) {
@@ -24,12 +24,13 @@
         set
     }
 
-    /// The bitmap, low bit first, as messages carry it.
+    /// Returns the bitmap, low bit first. It may be shorter than the
+    /// manifest's number of chunks requires.
     pub fn to_bitmap(&self) -> Vec<u8> {
         self.bits.clone()
     }
 
-    /// Adds `index`; says whether it was absent.
+    /// Adds `index`. Returns whether it was absent.
     pub fn insert(&mut self, index: usize) -> bool {
         if self.contains(index) {
             return false;
@@ -42,7 +43,7 @@
         true
     }
 
-    /// Takes `index` out; says whether it was there.
+    /// Removes `index`. Returns whether it was present.
     pub fn remove(&mut self, index: usize) -> bool {
         if !self.contains(index) {
             return false;
@@ -52,24 +53,24 @@
         true
     }
 
-    /// Whether `index` is in the set.
+    /// Returns whether `index` is in the set.
     pub fn contains(&self, index: usize) -> bool {
         self.bits
             .get(index / 8)
             .is_some_and(|byte| byte >> (index % 8) & 1 == 1)
     }
 
-    /// Number of chunks in the set.
+    /// Returns the number of chunks in the set.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether the set is empty.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// The indices, ascending.
+    /// Iterates over the indices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.bits.len() * 8).filter(|index| self.contains(*index))
     }
--- a/crates/raildale-core/src/code.rs
+++ b/crates/raildale-core/src/code.rs
@@ -1,24 +1,25 @@
-//! Numbered result codes: what callers and operators are told.
+//! Numbered result codes for callers and operators.
 //!
-//! `docs/CODES.md` holds the same table; a test keeps the two equal.
+//! `docs/CODES.md` holds the same table; a test checks that they are equal.
 
 use std::fmt;
 
-/// Whether a request ran, as far as the one who answers can prove.
+/// Whether a request ran, as far as the process that reports the code can
+/// prove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// The request did not run and will not run under this try.
+    /// The request did not run and will not run in this attempt.
     NotRun,
     /// The request ran.
     Ran,
     /// It may or may not have run.
     Unknown,
-    /// The answer is not about a request.
+    /// The code is not about a request.
     NotApplicable,
 }
 
 impl Ran {
-    /// The word used in answers.
+    /// Returns the value as responses spell it.
     pub fn as_str(self) -> &'static str {
         match self {
             Ran::NotRun => "not run",
@@ -39,25 +40,25 @@
         }
 
         impl Code {
-            /// Every code, in the order of its number.
+            /// All codes, ordered by number.
             pub const ALL: &'static [Code] = &[$(Code::$name,)*];
 
-            /// The HTTP status that goes with the code.
+            /// Returns the HTTP status for the code.
             pub fn http_status(self) -> u16 {
                 match self { $(Code::$name => $http,)* }
             }
 
-            /// What the code proves about the request.
+            /// Returns whether a request with this code ran.
             pub fn ran(self) -> Ran {
                 match self { $(Code::$name => Ran::$ran,)* }
             }
 
-            /// One line for people.
+            /// Returns the description of the code, one line.
             pub fn text(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
 
-            /// The code with this number.
+            /// Returns the code with this number; `None` if there is none.
             pub fn from_number(number: u32) -> Option<Code> {
                 match number { $($number => Some(Code::$name),)* _ => None }
             }
@@ -110,7 +111,7 @@
 }
 
 impl Code {
-    /// The code's number.
+    /// Returns the code's number.
     pub fn number(self) -> u32 {
         self as u32
     }
--- a/crates/raildale-core/src/digest.rs
+++ b/crates/raildale-core/src/digest.rs
@@ -1,16 +1,16 @@
-//! BLAKE3 digests, which name chunks and manifests.
+//! BLAKE3 digests, which identify chunks and manifests.
 
 use std::fmt;
 
-/// Bytes in a digest.
+/// The length of a digest in bytes.
 pub const DIGEST_BYTES: usize = 32;
 
-/// The BLAKE3 digest of some bytes.
+/// A BLAKE3 digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// The digest of `data`.
+    /// Returns the digest of `data`.
     ///
     /// # Example
     ///
@@ -24,27 +24,28 @@
         Digest(*blake3::hash(data).as_bytes())
     }
 
-    /// Reads a digest from a message's field; `None` if its length is off.
+    /// Returns the digest with these bytes; `None` unless there are exactly
+    /// [`DIGEST_BYTES`].
     pub fn from_slice(bytes: &[u8]) -> Option<Digest> {
         bytes.try_into().ok().map(Digest)
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits; `None` if `text` is anything else.
     pub fn from_hex(text: &str) -> Option<Digest> {
         blake3::Hash::from_hex(text).ok().map(|hash| Digest(*hash.as_bytes()))
     }
 
-    /// The 64 hexadecimal digits.
+    /// Returns the digest as 64 hexadecimal digits.
     pub fn to_hex(self) -> String {
         blake3::Hash::from_bytes(self.0).to_hex().to_string()
     }
 
-    /// The bytes, as messages carry them.
+    /// Returns the digest's bytes as a vector, for message fields.
     pub fn to_vec(self) -> Vec<u8> {
         self.0.to_vec()
     }
 
-    /// The raw bytes.
+    /// Returns the digest's bytes.
     pub fn as_bytes(&self) -> &[u8; DIGEST_BYTES] {
         &self.0
     }
--- a/crates/raildale-core/src/fleet_message.rs
+++ b/crates/raildale-core/src/fleet_message.rs
@@ -1,8 +1,9 @@
-//! What entry hosts and agents say to one another on a platform that keeps
-//! the configuration and the list of targets itself.
+//! The messages between entry hosts and agents on a platform that stores the
+//! configuration and the list of targets itself.
 //!
-//! Datagrams carry what is repeated anyway, so a lost one costs a moment;
-//! frames on a connection carry chunks and snapshots.
+//! Datagrams carry messages that are repeated periodically, so the loss of one
+//! only delays its information. Frames on a connection carry chunks and
+//! snapshots.
 
 use std::net::SocketAddr;
 
@@ -16,27 +17,27 @@
 /// A datagram.
 #[derive(Clone, PartialEq, Message)]
 pub struct Datagram {
-    /// What it says.
+    /// The message; a datagram of an unknown kind has none.
     #[prost(oneof = "Note", tags = "1, 2, 3, 4, 5")]
     pub note: Option<Note>,
 }
 
-/// What a datagram says.
+/// The message in a datagram.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Note {
-    /// An entry host to another.
+    /// Entry host to entry host: a heartbeat.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// An entry host to an agent.
+    /// Entry host to agent: a briefing.
     #[prost(message, tag = "2")]
     Briefing(Briefing),
-    /// An agent to an entry host.
+    /// Agent to entry host: a report on its target.
     #[prost(message, tag = "3")]
     Report(Report),
-    /// An agent that nobody has briefed yet to an entry host.
+    /// Agent to entry host: requests a briefing, as it has had none yet.
     #[prost(message, tag = "4")]
     BriefingRequest(BriefingRequest),
-    /// A relay of a data centre to those of the others, and these to their
+    /// Relay to the relays of other data centres, which pass it on to their
     /// neighbours.
     #[prost(message, tag = "5")]
     Digest(Digest),
@@ -45,54 +46,55 @@
 /// An entry host's heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// Its name.
+    /// The entry host's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The data centre that it stands in.
+    /// The entry host's data centre.
     #[prost(string, tag = "2")]
     pub data_centre: String,
-    /// Whether it takes no new callers.
+    /// Whether the entry host takes no new callers.
     #[prost(bool, tag = "3")]
     pub is_leaving: bool,
-    /// Whether it is ready for callers.
+    /// Whether the entry host is ready for callers.
     #[prost(bool, tag = "4")]
     pub is_ready: bool,
-    /// The store's revision of the last change that it knows, by kind, in the
-    /// order of the kinds' numbers.
+    /// For each kind of object, the store's revision of the last change that
+    /// the entry host knows, in the order of the kinds' numbers.
     #[prost(uint64, repeated, tag = "5")]
     pub revisions: Vec<u64>,
-    /// Whether the store answers it, as far as it knows.
+    /// Whether the store responds to the entry host, as far as it knows.
     #[prost(bool, tag = "6")]
     pub sees_store: bool,
-    /// The versions that bound what may start, and how long ago they were
-    /// named: whoever has just started, or was frozen, cannot know.
+    /// The versions that limit what may start, and how long ago they were
+    /// named. Receivers that have just started, or were frozen, cannot know
+    /// these ages.
     #[prost(message, repeated, tag = "7")]
     pub versions: Vec<ModelVersionAge>,
-    /// Milliseconds since the store last told some entry host which versions
-    /// are named, as the sender knows.
+    /// Milliseconds since any entry host last read the named versions from the
+    /// store, as far as the sender knows; `None` if it does not know.
     #[prost(uint64, optional, tag = "8")]
     pub versions_heard_age_ms: Option<u64>,
-    /// Requests that come to it in a second, as of late.
+    /// The recent rate of requests to the entry host, in requests a second.
     #[prost(float, tag = "9")]
     pub demand_per_s: f32,
-    /// Requests that may end the targets that run them, the weightiest first.
+    /// Requests that may end the targets that run them, the most severe first.
     #[prost(message, repeated, tag = "10")]
     pub suspects: Vec<SuspectEntry>,
-    /// What starts of targets say of themselves, the latest first.
+    /// Notices that targets gave of their limits and departure, latest first.
     #[prost(message, repeated, tag = "11")]
     pub notices: Vec<NoticeEntry>,
-    /// The store's eras that the revisions belong to, in the same order; 0
-    /// for those that are missing.
+    /// The store's eras of `revisions`, in the same order; missing ones count
+    /// as 0.
     #[prost(uint64, repeated, tag = "12")]
     pub eras: Vec<u64>,
-    /// The first eras of which it knows anything, in the same order; those of
-    /// the revisions for those that are missing.
+    /// For each kind, the first era of which the entry host knows anything, in
+    /// the same order; missing ones count as the era in `eras`.
     #[prost(uint64, repeated, tag = "13")]
     pub oldest_eras: Vec<u64>,
 }
 
 impl Hello {
-    /// What it knows of the store, by kind.
+    /// Returns the extent of the sender's knowledge of the store, by kind.
     pub fn extents(&self) -> Vec<Extent> {
         let extent = |(place, revision): (usize, &u64)| {
             let era = self.eras.get(place).copied().unwrap_or(0);
@@ -105,7 +107,7 @@
         self.revisions.iter().enumerate().map(extent).collect()
     }
 
-    /// The same, told.
+    /// Sets the fields that hold the extents, by kind.
     pub fn with_extents(self, extents: &[Extent]) -> Hello {
         let changed = || extents.iter().map(|extent| extent.changed);
         Hello {
@@ -117,23 +119,23 @@
     }
 }
 
-/// What a start of a target says of itself.
+/// The last notice of one start of a target.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct NoticeEntry {
-    /// Names the start.
+    /// Identifies the start.
     #[prost(fixed64, tag = "1")]
     pub start: u64,
-    /// Requests a second that it takes from all entry hosts together; none if
-    /// it names no limit any more.
+    /// The requests a second that the target accepts from all entry hosts
+    /// together; `None` if it no longer sets a limit.
     #[prost(double, optional, tag = "2")]
     pub limit_per_s: Option<f64>,
-    /// Milliseconds since it said so last.
+    /// Milliseconds since the target's last notice.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
-    /// Requests that the sender has sent to it of late.
+    /// The number of requests that the sender recently sent to the target.
     #[prost(uint32, tag = "4")]
     pub sent_lately: u32,
-    /// Whether it has told the sender that it leaves.
+    /// Whether the target has told the sender that it is leaving.
     #[prost(bool, tag = "5")]
     pub is_leaving: bool,
 }
@@ -141,16 +143,16 @@
 /// A request that may end the targets that run it.
 #[derive(Clone, PartialEq, Message)]
 pub struct SuspectEntry {
-    /// Names the caller's key.
+    /// Identifies the caller's key.
     #[prost(fixed32, tag = "1")]
     pub caller: u32,
-    /// Names the request.
+    /// Identifies the request.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// The starts of targets that ended while it was there.
+    /// The starts of targets that ended while the request was there.
     #[prost(message, repeated, tag = "3")]
     pub losses: Vec<LossEntry>,
-    /// Milliseconds since a target answered it; none if none did.
+    /// Milliseconds since a target answered the request; `None` if none did.
     #[prost(uint64, optional, tag = "4")]
     pub cleared_age_ms: Option<u64>,
 }
@@ -158,19 +160,19 @@
 /// A start of a target that ended while a request was there.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct LossEntry {
-    /// Names the start.
+    /// Identifies the start.
     #[prost(fixed64, tag = "1")]
     pub start: u64,
-    /// Milliseconds since it ended.
+    /// Milliseconds since the start ended.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
-    /// Whether it ended in a cut, together with a large part of its
-    /// service's.
+    /// Whether it ended in a cut, together with a large part of the service's
+    /// other starts.
     #[prost(bool, tag = "3")]
     pub is_cut: bool,
 }
 
-/// What a relay knows of its data centre, for the others.
+/// A relay's summary of its data centre for the relays of other data centres.
 #[derive(Clone, PartialEq, Message)]
 pub struct Digest {
     /// The relay's own heartbeat.
@@ -179,20 +181,21 @@
     /// The relay's IPv4 address.
     #[prost(fixed32, tag = "2")]
     pub relay_ip: u32,
-    /// Entry hosts that it hears.
+    /// The entry hosts from which the relay receives heartbeats.
     #[prost(message, repeated, tag = "3")]
     pub entry_hosts: Vec<DigestEntryHost>,
-    /// Targets whose agents report to it.
+    /// The targets whose agents report to the relay.
     #[prost(message, repeated, tag = "4")]
     pub targets: Vec<DigestTarget>,
-    /// The relay's clock as it was sent.
+    /// The relay's clock when it sent the digest, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub sent_ms: u64,
-    /// What came last from each relay that it hears from.
+    /// The last digest received from each other relay.
     #[prost(message, repeated, tag = "6")]
     pub echoes: Vec<Echo>,
-    /// Milliseconds to the relay's data centre and back, as whoever passed
-    /// this on measured them; 0 as it leaves the relay.
+    /// The round-trip time to the relay's data centre in milliseconds, as
+    /// measured by the relay that passed the digest on; 0 when it leaves the
+    /// original relay.
     #[prost(uint64, tag = "7")]
     pub round_trip_ms: u64,
 }
@@ -200,16 +203,16 @@
 /// An entry host in a digest.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct DigestEntryHost {
-    /// Its IPv4 address.
+    /// The entry host's IPv4 address.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
-    /// Whether it is ready for callers.
+    /// Whether the entry host is ready for callers.
     #[prost(bool, tag = "2")]
     pub is_ready: bool,
-    /// Whether it takes no new callers.
+    /// Whether the entry host takes no new callers.
     #[prost(bool, tag = "3")]
     pub is_leaving: bool,
-    /// Requests that come to it in a second, as of late.
+    /// The recent rate of requests to the entry host, in requests a second.
     #[prost(float, tag = "4")]
     pub demand_per_s: f32,
 }
@@ -217,27 +220,29 @@
 /// A target in a digest.
 #[derive(Clone, PartialEq, Message)]
 pub struct DigestTarget {
-    /// What its agent reported.
+    /// The last report of the target's agent.
     #[prost(message, optional, tag = "1")]
     pub report: Option<Report>,
-    /// Milliseconds since it did.
+    /// Milliseconds since the report was received.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
-    /// Milliseconds from the relay to its machine and back.
+    /// The round-trip time from the relay to the target's machine, in
+    /// milliseconds.
     #[prost(uint64, tag = "3")]
     pub round_trip_ms: u64,
 }
 
-/// A digest that came, for its sender to measure the way.
+/// The receipt of a digest, from which its sender measures the round-trip
+/// time.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Echo {
-    /// The IPv4 address that it came from.
+    /// The IPv4 address of the digest's sender.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
-    /// Its sender's clock.
+    /// The digest's `sent_ms`, on its sender's clock.
     #[prost(uint64, tag = "2")]
     pub sent_ms: u64,
-    /// Milliseconds that it has been held since.
+    /// Milliseconds since the digest was received.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
 }
@@ -248,61 +253,63 @@
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// Its number.
+    /// The version's number.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Milliseconds since it was named, as the sender knows.
+    /// Milliseconds since it was named, as far as the sender knows.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
 }
 
-/// What an entry host tells an agent: it also asks for reports.
+/// The information that an entry host sends to an agent periodically. It also
+/// requests reports.
 #[derive(Clone, PartialEq, Message)]
 pub struct Briefing {
-    /// Chunks of a version.
+    /// The number of chunks of a version.
     #[prost(uint32, tag = "1")]
     pub chunk_count: u32,
-    /// Whether what runs may be cut and go on elsewhere.
+    /// Whether running requests may be cut and continued at other targets.
     #[prost(bool, tag = "2")]
     pub may_cut: bool,
-    /// Versions that were named, oldest first.
+    /// The versions that were named, oldest first.
     #[prost(message, repeated, tag = "3")]
     pub versions: Vec<VersionAge>,
     /// The agents of the service.
     #[prost(message, repeated, tag = "4")]
     pub agents: Vec<AgentEntry>,
-    /// Data centres, to which agents refer by place.
+    /// The names of data centres, which [`AgentEntry`] refers to by index.
     #[prost(string, repeated, tag = "5")]
     pub data_centres: Vec<String>,
-    /// Connections that the origin accepts from all agents together.
+    /// The number of connections that the origin accepts from all agents
+    /// together.
     #[prost(uint32, tag = "6")]
     pub origin_connections: u32,
-    /// The sender's clock, for the report to send back.
+    /// The sender's clock in milliseconds, which the report returns.
     #[prost(uint64, tag = "7")]
     pub sent_ms: u64,
     /// The model that the service's targets load.
     #[prost(string, tag = "8")]
     pub model: String,
-    /// Where the origin of weights listens; empty if there is none.
+    /// The address of the origin of weights; empty if there is none.
     #[prost(string, tag = "9")]
     pub origin: String,
     /// The path of the targets' health checks; empty if there are none.
     #[prost(string, tag = "10")]
     pub health_path: String,
-    /// Whether the sender looks after the agent's data centre and wants every
-    /// report.
+    /// Whether the sender is responsible for the agent's data centre and is to
+    /// get every report.
     #[prost(bool, tag = "11")]
     pub is_near: bool,
 }
 
-/// A question for a briefing: entry hosts brief agents of their own accord
-/// only once the agent's target is listed, about a second after its start.
+/// Requests a briefing. Entry hosts brief an agent on their own only when its
+/// target is listed, which takes about a second from its start.
 #[derive(Clone, PartialEq, Message)]
 pub struct BriefingRequest {
     /// The service of the agent's target.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The data centre that the agent stands in.
+    /// The agent's data centre.
     #[prost(string, tag = "2")]
     pub data_centre: String,
 }
@@ -310,10 +317,10 @@
 /// A version and how long ago it was named.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct VersionAge {
-    /// Its number.
+    /// The version's number.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Milliseconds since it was named, as the sender knows.
+    /// Milliseconds since it was named, as far as the sender knows.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
 }
@@ -321,74 +328,77 @@
 /// An agent in a briefing.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct AgentEntry {
-    /// Its IPv4 address.
+    /// The agent's IPv4 address.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
-    /// The place of its data centre in the briefing's list.
+    /// The index of its data centre in [`Briefing::data_centres`].
     #[prost(uint32, tag = "2")]
     pub data_centre: u32,
-    /// The newest version of which it holds every chunk; 0 if none.
+    /// The newest version of which the agent holds all chunks; 0 if none.
     #[prost(uint64, tag = "3")]
     pub whole_version: u64,
-    /// The version that its target serves; 0 if none.
+    /// The version that the agent's target serves; 0 if none.
     #[prost(uint64, tag = "4")]
     pub serves_version: u64,
-    /// Whether the way to it is slow, or it is silent.
+    /// Whether the network path to the agent is slow, or the agent is silent.
     #[prost(bool, tag = "5")]
     pub is_slow: bool,
 }
 
-/// What an agent tells of its target.
+/// An agent's report on its target.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
     /// The target's address.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// Whether the target answers its agent.
+    /// Whether the target responds to its agent.
     #[prost(bool, tag = "2")]
     pub is_up: bool,
-    /// Whether new requests are welcome.
+    /// Whether the target accepts new requests.
     #[prost(bool, tag = "3")]
     pub is_accepting: bool,
-    /// The version that it serves; 0 if none.
+    /// The version that the target serves; 0 if none.
     #[prost(uint64, tag = "4")]
     pub serves_version: u64,
-    /// The newest version held whole; 0 if none.
+    /// The newest version of which all chunks are held; 0 if none.
     #[prost(uint64, tag = "5")]
     pub whole_version: u64,
-    /// Requests that run.
+    /// The number of running requests.
     #[prost(uint32, tag = "6")]
     pub running: u32,
-    /// Requests that wait.
+    /// The number of queued requests.
     #[prost(uint32, tag = "7")]
     pub queued: u32,
-    /// How slow the target is, in thousandths of its published pace.
+    /// The target's current slowness, in thousandths of its published pace.
     #[prost(uint32, tag = "8")]
     pub pace_milli: u32,
-    /// The reader's clock in its last briefing; 0 if there was none.
+    /// The receiver's clock in its last briefing, in milliseconds; 0 if there
+    /// was none.
     #[prost(uint64, tag = "9")]
     pub briefing_sent_ms: u64,
-    /// Milliseconds that the agent has held that briefing.
+    /// Milliseconds since the agent received that briefing.
     #[prost(uint64, tag = "10")]
     pub briefing_age_ms: u64,
-    /// Chunks that are missing before the target can load the version
-    /// wanted; 0 if none.
+    /// The number of chunks still missing before the target can load the
+    /// wanted version; 0 if none.
     #[prost(uint32, tag = "11")]
     pub missing_chunks: u32,
-    /// Milliseconds until the reader's next report, if nothing happens.
+    /// Milliseconds until the next report to the receiver, unless a change
+    /// causes an earlier one.
     #[prost(uint32, tag = "12")]
     pub every_ms: u32,
-    /// Milliseconds that what comes to the agent waits before its link.
+    /// The queueing delay of traffic to the agent before its link, in
+    /// milliseconds.
     #[prost(uint64, tag = "13")]
     pub queue_ms: u64,
 }
 
-/// Thousandths in the whole, as paces are told.
+/// The number of thousandths in one, the unit of [`Report::pace_milli`].
 const MILLI: f64 = 1e3;
 
 impl Report {
-    /// What is told of the target at `address`, without the times of a
-    /// briefing.
+    /// Returns the message for a report on the target at `address`. The fields
+    /// for the briefing's times and the queueing delay are 0.
     pub fn of(address: SocketAddr, report: &TargetReport) -> Report {
         Report {
             address: address.to_string(),
@@ -407,8 +417,9 @@
         }
     }
 
-    /// What an entry host takes from it, which read it at `now_ms` on the
-    /// clock that its briefings tell.
+    /// Returns the report as an entry host uses it, with the round-trip time.
+    /// `now_ms` is the time of receipt, on the clock that the entry host puts
+    /// into its briefings.
     pub fn target_report(&self, now_ms: u64) -> TargetReport {
         let round_trip_ms = match self.briefing_sent_ms {
             0 => 0,
@@ -416,8 +427,8 @@
                 .saturating_sub(sent_ms)
                 .saturating_sub(self.briefing_age_ms),
         };
-        // A full link drops datagrams: a briefing that is overdue at the
-        // agent says as much of the way as one that took long.
+        // A congested link drops datagrams, so an overdue briefing at the
+        // agent indicates a slow path just as a long round trip does.
         let overdue_ms = self.briefing_age_ms.saturating_sub(OVERDUE_AFTER_MS);
         let round_trip_ms = round_trip_ms.max(overdue_ms).max(self.queue_ms);
         TargetReport {
@@ -435,83 +446,84 @@
     }
 }
 
-/// Age from which a briefing is overdue at an agent, in milliseconds: they
-/// leave every 400 ms, and some later.
+/// The age in milliseconds from which a briefing at an agent is overdue.
+/// Briefings are sent every 400 ms, and some of them later.
 const OVERDUE_AFTER_MS: u64 = 520;
 
 /// A frame on a connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct FleetFrame {
-    /// What it says.
+    /// The message; a frame of an unknown kind has none.
     #[prost(oneof = "FleetBody", tags = "1, 2, 3, 4, 5")]
     pub body: Option<FleetBody>,
 }
 
-/// What a frame says.
+/// The message in a frame.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum FleetBody {
-    /// An agent asks another for an item.
+    /// Agent to agent: requests a manifest or chunk.
     #[prost(message, tag = "1")]
     ItemRequest(ItemRequest),
-    /// The answer.
+    /// Agent to agent: the response to an item request.
     #[prost(message, tag = "2")]
     ItemResponse(ItemResponse),
-    /// An entry host asks another for a kind of object.
+    /// Entry host to entry host: requests all objects of a kind.
     #[prost(message, tag = "3")]
     SnapshotRequest(SnapshotRequest),
-    /// The answer.
+    /// Entry host to entry host: the response to a snapshot request.
     #[prost(message, tag = "4")]
     SnapshotResponse(SnapshotResponse),
-    /// A slice of a chunk has come.
+    /// Agent to agent: acknowledges a slice of a chunk.
     #[prost(message, tag = "5")]
     SliceAck(SliceAck),
 }
 
-/// A question for a manifest or chunk.
+/// Requests a manifest or chunk.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct ItemRequest {
-    /// Names the question on its connection.
+    /// The request's number, unique on its connection.
     #[prost(uint64, tag = "1")]
     pub question: u64,
     /// The version.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// The chunk's place; none asks for the manifest.
+    /// The chunk's index; `None` requests the manifest.
     #[prost(uint32, optional, tag = "3")]
     pub chunk: Option<u32>,
-    /// Agents that the question has passed.
+    /// The number of agents that have forwarded the request.
     #[prost(uint32, tag = "4")]
     pub hops: u32,
 }
 
-/// A manifest or a slice of a chunk, or that it is not to be had.
+/// The response to an [`ItemRequest`]: a manifest, a slice of a chunk, or
+/// neither if the item is not available.
 #[derive(Clone, PartialEq, Message)]
 pub struct ItemResponse {
-    /// Names the question.
+    /// The request's number.
     #[prost(uint64, tag = "1")]
     pub question: u64,
-    /// Bytes of a chunk, after those of the slices before.
+    /// A slice of the chunk, which follows the previous slices.
     #[prost(bytes = "bytes", optional, tag = "2")]
     pub chunk: Option<bytes::Bytes>,
-    /// A manifest's digests, 32 bytes each, in order.
+    /// The manifest's digests, 32 bytes each, in order.
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub digests: Option<bytes::Bytes>,
-    /// Milliseconds that the question waited before the answer began.
+    /// Milliseconds that the request waited before the response began.
     #[prost(uint64, tag = "4")]
     pub waited_ms: u64,
-    /// Bytes of the chunk that are still to come.
+    /// The number of bytes of the chunk that follow in later slices.
     #[prost(uint32, tag = "5")]
     pub left_bytes: u32,
-    /// When it left, on the sender's clock.
+    /// The time of sending on the sender's clock, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub sent_ms: u64,
 }
 
-/// That a slice of a chunk has come, so that another one may leave.
+/// Acknowledges a slice of a chunk, so that another one may be sent.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct SliceAck {}
 
-/// A question for all objects of a kind.
+/// Requests all objects of a kind.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct SnapshotRequest {
     /// The kind's number.
@@ -519,36 +531,35 @@
     pub kind: u32,
 }
 
-/// All objects of a kind.
+/// The response to a [`SnapshotRequest`]: all objects of a kind.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotResponse {
     /// The kind's number.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// The revision of the store.
+    /// The revision of the store at which the snapshot was taken.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// The store's revision of the last change, deletions among them.
+    /// The store's revision of the last change, including deletions.
     #[prost(uint64, tag = "3")]
     pub changed_revision: u64,
-    /// Objects that are missing and may yet come back: their entries lapsed
-    /// while the store was away.
+    /// The names of objects that are missing but may come back, because their
+    /// entries expired while the store was unavailable.
     #[prost(string, repeated, tag = "4")]
     pub lapsed: Vec<String>,
-    /// The objects: an [`ObjectList`], deflated.
+    /// The objects, as an [`ObjectList`] compressed with deflate.
     #[prost(bytes = "bytes", tag = "5")]
     pub packed: bytes::Bytes,
-    /// The store's era that the revision belongs to.
+    /// The store's era that `revision` belongs to.
     #[prost(uint64, tag = "6")]
     pub era: u64,
-    /// The same of the last change.
+    /// The store's era that `changed_revision` belongs to.
     #[prost(uint64, tag = "7")]
     pub changed_era: u64,
-    /// The first era of which the sender knows anything; none for the one
-    /// that the revision belongs to.
+    /// The first era of which the sender knows anything; `None` means `era`.
     #[prost(uint64, optional, tag = "8")]
     pub oldest_era: Option<u64>,
-    /// Starts of targets that have left the list of late.
+    /// Starts of targets that have recently left the list.
     #[prost(message, repeated, tag = "9")]
     pub departed: Vec<DepartureEntry>,
 }
@@ -556,28 +567,29 @@
 /// A start of a target that has left the list.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct DepartureEntry {
-    /// Names the start.
+    /// Identifies the start.
     #[prost(fixed64, tag = "1")]
     pub start: u64,
-    /// The era of a change of the store by which its entry was gone.
+    /// The era of a change of the store by which the start's entry was gone.
     #[prost(uint64, tag = "2")]
     pub era: u64,
     /// The revision of that change.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Milliseconds since that was known.
+    /// Milliseconds since the departure became known.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
-    /// The era of its entry in a restored copy, if there is one.
+    /// The era of the start's entry in a restored copy of the store, if there
+    /// is one.
     #[prost(uint64, optional, tag = "5")]
     pub copied_era: Option<u64>,
-    /// The revision of that entry.
+    /// The revision of that entry; unused without `copied_era`.
     #[prost(uint64, tag = "6")]
     pub copied_revision: u64,
 }
 
 impl DepartureEntry {
-    /// Its entry in a restored copy.
+    /// Returns the stamp of the start's entry in a restored copy of the store.
     pub fn copied(&self) -> Option<Stamp> {
         let revision = self.copied_revision;
         self.copied_era.map(|era| Stamp { era, revision })
@@ -595,16 +607,16 @@
 /// An object in a snapshot.
 #[derive(Clone, PartialEq, Message)]
 pub struct ObjectEntry {
-    /// Its name.
+    /// The object's name.
     #[prost(string, tag = "1")]
     pub name: String,
     /// The revision of its last change.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Its body, as the platform encodes it.
+    /// The object's body, as the platform encodes it.
     #[prost(bytes = "bytes", tag = "3")]
     pub body: bytes::Bytes,
-    /// The store's era that the revision belongs to.
+    /// The store's era that `revision` belongs to.
     #[prost(uint64, tag = "4")]
     pub era: u64,
 }
--- a/crates/raildale-core/src/lib.rs
+++ b/crates/raildale-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Every decision of raildale, pure.
+//! The decision logic of raildale, without side effects.
 //!
-//! This crate has no clock, no I/O and no thread. Each process of the system
-//! runs one reducer from here, [`agent::Agent`] or [`entry::Entry`]: an event
-//! and the time go in, effects come out as data, and a thin shell carries
-//! them out. A whole process can therefore be driven by a foreign harness.
+//! This crate has no clock, no I/O and no threads. Each process of the system
+//! runs one reducer from here, [`agent::Agent`] or [`entry::Entry`]. A reducer
+//! takes an event and the current time and returns effects as data, which a
+//! thin shell carries out. A test harness can therefore drive a whole process.
 //!
 //! # Example
 //!
@@ -16,16 +16,17 @@
 //! assert_eq!(read.digest(), manifest.digest());
 //! ```
 //!
-//! # Where to go next
+//! # Modules
 //!
-//! * [`spread`]: how a version reaches many hosts.
+//! * [`spread`]: the distribution of a version to many hosts.
 //! * [`request`]: admission, routing, and the ledger that keeps a request
 //!   from running twice.
-//! * [`settings`]: the tree of settings and why it never reverts.
-//! * [`message`]: what the processes say to one another.
-//! * [`gateway`]: requests that go straight to targets.
-//! * [`swarm`]: weights brought to a target that loads what lies staged.
-//! * [`catalog`]: what a store of objects holds, relayed and never reverting.
+//! * [`settings`]: the settings tree and the rule that it never reverts.
+//! * [`message`]: the messages between the processes.
+//! * [`gateway`]: requests that entry hosts send directly to targets.
+//! * [`swarm`]: the staging and loading of weights at a target.
+//! * [`catalog`]: a copy of a store's objects, which is relayed between entry
+//!   hosts and never reverts.
 
 pub mod agent;
 pub mod catalog;
--- a/crates/raildale-core/src/manifest.rs
+++ b/crates/raildale-core/src/manifest.rs
@@ -1,30 +1,31 @@
-//! A version's manifest: the ordered digests of its chunks.
+//! The manifest of a version: the ordered digests of its chunks.
 //!
-//! The digest of a manifest's encoding names the version. Two uploads under
-//! one version name with other bytes are two manifests, and nothing below
-//! this module ever compares versions by name.
+//! The digest of a manifest's encoding identifies the version. Two uploads
+//! with different bytes under one version name have different manifests. Code
+//! that distributes versions compares digests, never names.
 
 use crate::digest::{DIGEST_BYTES, Digest};
 
-/// Chunks in a manifest at most; bounds what a peer can make us hold.
+/// The maximum number of chunks in a manifest. It bounds the memory that a
+/// peer can make a process use.
 pub const MAX_CHUNKS: usize = 65_536;
 
 const MAGIC: &[u8; 8] = b"rdmanif1";
 const HEADER_BYTES: usize = 24;
 
-/// What a version consists of.
+/// The sizes and chunk digests of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Manifest {
-    /// Bytes of every chunk but the last.
+    /// The size in bytes of every chunk but the last, which may be shorter.
     pub chunk_bytes: u64,
-    /// Bytes of the whole version.
+    /// The size of the version in bytes.
     pub total_bytes: u64,
     /// The digest of each chunk, in order.
     pub chunks: Vec<Digest>,
 }
 
 impl Manifest {
-    /// Cuts `data` into chunks and digests each.
+    /// Splits `data` into chunks and returns their manifest.
     ///
     /// # Panics
     ///
@@ -37,12 +38,12 @@
         }
     }
 
-    /// The digest that names this version.
+    /// Returns the digest that identifies the version.
     pub fn digest(&self) -> Digest {
         Digest::of(&self.encode())
     }
 
-    /// The bytes that the digest covers.
+    /// Returns the encoding that the digest covers.
     pub fn encode(&self) -> Vec<u8> {
         let mut out =
             Vec::with_capacity(HEADER_BYTES + DIGEST_BYTES * self.len());
@@ -55,18 +56,19 @@
         out
     }
 
-    /// Reads an encoding; `None` if it is not one, or contradicts itself.
+    /// Decodes a manifest; `None` if the encoding is malformed, has more than
+    /// [`MAX_CHUNKS`], or its sizes do not match its number of chunks.
     pub fn decode(bytes: &[u8]) -> Option<Manifest> {
         let (header, body) = bytes.split_at_checked(HEADER_BYTES)?;
         let chunk_bytes = u64::from_le_bytes(header[8..16].try_into().ok()?);
         let total_bytes = u64::from_le_bytes(header[16..24].try_into().ok()?);
         let count = body.len() / DIGEST_BYTES;
-        let is_sound = &header[..8] == MAGIC
+        let is_valid = &header[..8] == MAGIC
             && body.len() % DIGEST_BYTES == 0
             && chunk_bytes > 0
             && count <= MAX_CHUNKS
             && total_bytes.div_ceil(chunk_bytes) == count as u64;
-        if !is_sound {
+        if !is_valid {
             return None;
         }
         let chunks =
@@ -74,12 +76,12 @@
         Some(Manifest { chunk_bytes, total_bytes, chunks })
     }
 
-    /// Number of chunks.
+    /// Returns the number of chunks.
     pub fn len(&self) -> usize {
         self.chunks.len()
     }
 
-    /// Whether the version has no chunk.
+    /// Returns whether the version has no chunks.
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
--- a/crates/raildale-core/src/message.rs
+++ b/crates/raildale-core/src/message.rs
@@ -1,14 +1,14 @@
-//! The messages that raildale's own processes exchange.
+//! The messages that raildale's processes exchange.
 //!
-//! They derive their codec by hand-written tags, so that the build needs no
-//! generator. A field is never renumbered; a reader skips tags it does not
-//! know, which is what lets two releases run side by side.
+//! Their protobuf codec is derived from tags in the source, so the build needs
+//! no code generator. A field is never renumbered, and a reader skips unknown
+//! tags, which allows two releases to run side by side.
 
 use prost::{Message, Oneof};
 
 /// The protocol version that a frame carries.
 ///
-/// A peer that speaks another version is refused by number in the greeting.
+/// A peer with another version is refused with a result code in the handshake.
 pub const PROTOCOL_VERSION: u32 = 1;
 
 /// One frame on a connection between two processes.
@@ -17,7 +17,7 @@
     /// The sender's [`PROTOCOL_VERSION`].
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// What is said; a frame without a body is malformed.
+    /// The message; a frame without a body is malformed.
     #[prost(
         oneof = "Body",
         tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, \
@@ -27,126 +27,127 @@
 }
 
 impl Frame {
-    /// Wraps `body` with this release's protocol version.
+    /// Returns a frame with `body` and this release's protocol version.
     pub fn new(body: Body) -> Frame {
         Frame { version: PROTOCOL_VERSION, body: Some(body) }
     }
 }
 
-/// Everything that one process can say to another.
+/// A message from one process to another.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// First frame of the side that dialled.
+    /// The first frame from the dialling side.
     #[prost(message, tag = "2")]
     Hello(Hello),
-    /// First frame of the side that accepted.
+    /// The first frame from the accepting side.
     #[prost(message, tag = "3")]
     Welcome(Welcome),
-    /// Second frame of the side that dialled.
+    /// The second frame from the dialling side.
     #[prost(message, tag = "4")]
     Proof(Proof),
-    /// A numbered refusal; the connection closes after it.
+    /// A refusal with a result code; the connection is closed after it.
     #[prost(message, tag = "5")]
     Refusal(Refusal),
-    /// Agent to entry host: load and what it serves.
+    /// Agent to entry host: the target's load and the models it serves.
     #[prost(message, tag = "6")]
     Report(Report),
-    /// Any process to another: the newest settings it has in force.
+    /// Any process to another: the settings that the sender has in force.
     #[prost(message, tag = "7")]
     Settings(SettingsBody),
-    /// Agent to the tracker: wants this manifest, holds these chunks.
+    /// Agent to tracker: joins the spread of a manifest.
     #[prost(message, tag = "8")]
     Join(Join),
-    /// Agent to the tracker: has these granted chunks now.
+    /// Agent to tracker: granted chunks were obtained, or could not be.
     #[prost(message, tag = "9")]
     Obtained(Obtained),
-    /// Tracker to agent: the manifest's own bytes.
+    /// Tracker or agent to agent: the encoded manifest.
     #[prost(message, tag = "10")]
     Manifest(ManifestBody),
     /// Tracker to agent: the neighbours to exchange chunks with.
     #[prost(message, tag = "11")]
     View(View),
-    /// Tracker to agent: bring these chunks into the data centre.
+    /// Tracker to agent: fetch these chunks into the data centre.
     #[prost(message, tag = "12")]
     Grant(Grant),
-    /// Agent to agent: chunks held.
+    /// Agent to agent: the chunks that the sender holds.
     #[prost(message, tag = "13")]
     Have(Have),
-    /// Agent to agent: send me one chunk.
+    /// Agent to agent: requests one chunk.
     #[prost(message, tag = "14")]
     ChunkRequest(ChunkRequest),
-    /// Agent to agent: one whole chunk.
+    /// Agent to agent: one complete chunk.
     #[prost(message, tag = "15")]
     ChunkData(ChunkData),
-    /// Agent to agent: that chunk will not come.
+    /// Agent to agent: refuses a chunk request.
     #[prost(message, tag = "16")]
     ChunkRefused(ChunkRefused),
-    /// Entry host to agent: run this request.
+    /// Entry host to agent: a request to run.
     #[prost(message, tag = "17")]
     Dispatch(Dispatch),
     /// Agent to entry host: a piece of an answer.
     #[prost(message, tag = "18")]
     Piece(Piece),
-    /// Agent to entry host: how an attempt ended.
+    /// Agent to entry host: the result of an attempt.
     #[prost(message, tag = "19")]
     Ended(Ended),
-    /// Entry host to agent: nobody waits for this attempt any more.
+    /// Entry host to agent: the caller no longer waits for an attempt.
     #[prost(message, tag = "20")]
     Cancel(Cancel),
-    /// Entry host to agent: what is known of this run key?
+    /// Entry host to agent: queries the state of a run key.
     #[prost(message, tag = "21")]
     Query(Query),
     /// Agent to entry host: the answer to a [`Query`].
     #[prost(message, tag = "22")]
     QueryReply(QueryReply),
-    /// Either side: still here. Sent when nothing else was.
+    /// Any process to another: a periodic sign of life.
     #[prost(message, tag = "23")]
     Heartbeat(Heartbeat),
-    /// Entry host to the owner of an organisation's limits.
+    /// Entry host to the owner of an organisation's limits: requests a share.
     #[prost(message, tag = "24")]
     ShareRequest(ShareRequest),
-    /// The owner's lease of a share of a limit.
+    /// Owner of an organisation's limits to entry host: a lease of a share.
     #[prost(message, tag = "25")]
     ShareLease(ShareLease),
-    /// Operator, through an entry host, to agent: leave.
+    /// Entry host to agent, on behalf of an operator: drain and leave.
     #[prost(message, tag = "26")]
     Drain(Drain),
-    /// Entry host to agent: the addresses of the live entry hosts.
+    /// Entry host to agent or entry host: the entry hosts that take new work.
     #[prost(message, tag = "28")]
     Entries(Entries),
-    /// Agent to agent: the manifest itself is wanted.
+    /// Agent to agent: requests an encoded manifest.
     #[prost(message, tag = "29")]
     ManifestRequest(ManifestRequest),
-    /// Either side: send me the settings you have in force.
+    /// Any process to another: requests the settings in force.
     #[prost(message, tag = "30")]
     SettingsRequest(SettingsRequest),
-    /// Agent to a tracker: another one tracks this spread for me now.
+    /// Agent to tracker: leaves a spread.
     #[prost(message, tag = "31")]
     LeaveSpread(LeaveSpread),
 }
 
-/// Who a process is, as it says itself in the greeting.
+/// The identity that a process states in the handshake.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Identity {
-    /// Its name, unique in the fleet.
+    /// The process's name, unique in the fleet.
     #[prost(string, tag = "1")]
     pub name: String,
     /// A number that differs at each start of the process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Whether it is an agent; an entry host otherwise.
+    /// Whether the process is an agent; it is an entry host otherwise.
     #[prost(bool, tag = "3")]
     pub is_agent: bool,
-    /// Its data centre.
+    /// The process's data centre.
     #[prost(string, tag = "4")]
     pub data_centre: String,
-    /// Its region.
+    /// The process's region.
     #[prost(string, tag = "5")]
     pub region: String,
-    /// Where its peers reach it, `ip:port`.
+    /// The address at which peers reach the process, `ip:port`.
     #[prost(string, tag = "6")]
     pub address: String,
-    /// Where callers reach it, `ip:port`; empty for an agent.
+    /// The address at which callers reach the process, `ip:port`; empty for an
+    /// agent.
     #[prost(string, tag = "7")]
     pub http_address: String,
     /// The pool of an agent's host; empty for an entry host.
@@ -154,24 +155,24 @@
     pub pool: String,
 }
 
-/// First frame of the side that dialled.
+/// The first frame from the dialling side.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Hello {
-    /// Who dials.
+    /// The dialling process.
     #[prost(message, required, tag = "1")]
     pub identity: Identity,
-    /// Random bytes that the other side signs.
+    /// Random bytes that the accepting side authenticates.
     #[prost(bytes = "vec", tag = "2")]
     pub nonce: Vec<u8>,
 }
 
-/// First frame of the side that accepted.
+/// The first frame from the accepting side.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Welcome {
-    /// Who accepted.
+    /// The accepting process.
     #[prost(message, required, tag = "1")]
     pub identity: Identity,
-    /// Random bytes that the dialling side signs.
+    /// Random bytes that the dialling side authenticates.
     #[prost(bytes = "vec", tag = "2")]
     pub nonce: Vec<u8>,
     /// The dialling side's nonce and this name under the cluster key.
@@ -179,7 +180,7 @@
     pub mac: Vec<u8>,
 }
 
-/// Second frame of the side that dialled.
+/// The second frame from the dialling side.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Proof {
     /// The accepting side's nonce and this name under the cluster key.
@@ -187,18 +188,18 @@
     pub mac: Vec<u8>,
 }
 
-/// A numbered refusal.
+/// A refusal with a result code.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Refusal {
     /// A result code's number.
     #[prost(uint32, tag = "1")]
     pub code: u32,
-    /// What was wrong, without any secret.
+    /// The reason, without any secrets.
     #[prost(string, tag = "2")]
     pub detail: String,
 }
 
-/// A model that an agent's target serves whole.
+/// A model that an agent's target serves.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Served {
     /// `organisation/model`.
@@ -209,30 +210,30 @@
     pub manifest: Vec<u8>,
 }
 
-/// How far an agent is with a version.
+/// An agent's progress in downloading a version.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Progress {
     /// The manifest's digest.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
-    /// Chunks verified.
+    /// The number of verified chunks.
     #[prost(uint32, tag = "2")]
     pub verified: u32,
-    /// Chunks in all.
+    /// The total number of chunks.
     #[prost(uint32, tag = "3")]
     pub total: u32,
 }
 
-/// An agent's load and what it serves.
+/// The load of an agent's target and the models it serves.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Report {
-    /// What the target serves.
+    /// The models that the target serves.
     #[prost(message, repeated, tag = "1")]
     pub served: Vec<Served>,
-    /// Runs in progress at the target.
+    /// The number of runs in progress at the target.
     #[prost(uint32, tag = "2")]
     pub running: u32,
-    /// Runs that the target takes at once.
+    /// The maximum number of concurrent runs at the target.
     #[prost(uint32, tag = "3")]
     pub capacity: u32,
     /// Whether the agent takes no new work.
@@ -241,57 +242,58 @@
     /// The settings' revision in force at the agent.
     #[prost(uint64, tag = "5")]
     pub settings_revision: u64,
-    /// Versions on their way.
+    /// The progress of versions that are being downloaded.
     #[prost(message, repeated, tag = "6")]
     pub progress: Vec<Progress>,
 }
 
-/// The settings' whole text at one revision.
+/// The complete text of the settings at one revision.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct SettingsBody {
-    /// The platform's version of the object.
+    /// The platform's revision of the settings object.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// TOML.
+    /// The TOML text.
     #[prost(string, tag = "2")]
     pub text: String,
 }
 
-/// An agent wants a version.
+/// Joins the spread of a version.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Join {
     /// The manifest's digest.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
-    /// Where the origin keeps it, `model/version`.
+    /// The version's path at the origin, `model/version`.
     #[prost(string, tag = "2")]
     pub origin_path: String,
-    /// A bit for each chunk held, low bit first; may be short.
+    /// A bitmap of the chunks held, low bit first; trailing zero bytes may be
+    /// missing.
     #[prost(bytes = "vec", tag = "3")]
     pub have: Vec<u8>,
-    /// Whether the agent lacks the manifest's text.
+    /// Whether the agent lacks the manifest and wants it sent.
     #[prost(bool, tag = "4")]
     pub wants_manifest: bool,
 }
 
-/// Granted chunks that an agent now holds, or gives back.
+/// The result of fetching granted chunks.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Obtained {
     /// The manifest's digest.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
-    /// Chunks held.
+    /// Granted chunks that the agent now holds.
     #[prost(uint32, repeated, tag = "2")]
     pub held: Vec<u32>,
-    /// Granted chunks that could not be had from their source.
+    /// Granted chunks that could not be fetched from their source.
     #[prost(uint32, repeated, tag = "3")]
     pub failed: Vec<u32>,
 }
 
-/// A manifest's own encoding.
+/// An encoded manifest.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ManifestBody {
-    /// The manifest's digest, to be checked by the reader.
+    /// The manifest's digest; the reader must check it.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
     /// The encoding that the digest covers.
@@ -316,29 +318,29 @@
     /// The manifest's digest.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
-    /// All neighbours; those not named are no longer.
+    /// All current neighbours; they replace the previous ones.
     #[prost(message, repeated, tag = "2")]
     pub neighbours: Vec<PeerAddress>,
 }
 
-/// One chunk to bring into a data centre.
+/// One chunk to fetch into a data centre.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct GrantedChunk {
     /// The chunk's index.
     #[prost(uint32, tag = "1")]
     pub index: u32,
-    /// Whom to ask; the origin if absent.
+    /// The peer to fetch the chunk from; the origin if absent.
     #[prost(message, optional, tag = "2")]
     pub source: Option<PeerAddress>,
 }
 
-/// Chunks that this agent, and no other, is to bring in.
+/// Chunks that only the receiving agent is to fetch into its data centre.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Grant {
     /// The manifest's digest.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
-    /// The chunks.
+    /// The chunks to fetch.
     #[prost(message, repeated, tag = "2")]
     pub chunks: Vec<GrantedChunk>,
 }
@@ -349,18 +351,18 @@
     /// The manifest's digest.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: Vec<u8>,
-    /// A bit for each chunk held; sent once when a link comes up.
+    /// A bitmap of the chunks held; sent once when a link comes up.
     #[prost(bytes = "vec", tag = "2")]
     pub bitmap: Vec<u8>,
     /// Chunks held since the last message.
     #[prost(uint32, repeated, tag = "3")]
     pub indices: Vec<u32>,
-    /// Whether the peer is to say what it holds itself.
+    /// Whether the receiver is to reply with the chunks that it holds.
     #[prost(bool, tag = "4")]
     pub asks: bool,
 }
 
-/// Asks a peer for a chunk.
+/// Requests a chunk from a peer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ChunkRequest {
     /// The manifest's digest.
@@ -369,11 +371,12 @@
     /// The chunk's index.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Chunks that the asking side holds; the least is served first.
+    /// The number of chunks that the requester holds; the requester with the
+    /// fewest is served first.
     #[prost(uint32, tag = "3")]
     pub held: u32,
-    /// Whether a tracker granted it: it brings the chunk into a data centre
-    /// that lacks it, and is served before all others.
+    /// Whether a tracker granted the chunk. Such a request fetches a chunk
+    /// into a data centre that lacks it and is served before all others.
     #[prost(bool, tag = "4")]
     pub granted: bool,
 }
@@ -392,7 +395,7 @@
     pub data: Vec<u8>,
 }
 
-/// A chunk that will not come.
+/// Refuses a [`ChunkRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ChunkRefused {
     /// The manifest's digest.
@@ -401,7 +404,7 @@
     /// The chunk's index.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Whether the peer is only busy; it does not hold the chunk otherwise.
+    /// Whether the sender is busy; otherwise it does not hold the chunk.
     #[prost(bool, tag = "3")]
     pub busy: bool,
 }
@@ -418,28 +421,29 @@
     /// `organisation/model`.
     #[prost(string, tag = "3")]
     pub model: String,
-    /// The request's body, handed to the target as it is.
+    /// The request's body, passed to the target unchanged.
     #[prost(bytes = "vec", tag = "4")]
     pub payload: Vec<u8>,
-    /// 0 urgent, 1 normal, 2 bulk.
+    /// The priority class: 0 urgent, 1 normal, 2 bulk.
     #[prost(uint32, tag = "5")]
     pub priority: u32,
-    /// Time left for the answer.
+    /// The time left until the deadline, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub budget_ms: u64,
     /// Whether the request may run twice.
     #[prost(bool, tag = "7")]
     pub repeatable: bool,
-    /// Tokens wanted at most.
+    /// The maximum number of tokens in the answer.
     #[prost(uint32, tag = "8")]
     pub max_tokens: u32,
     /// W3C `traceparent` of the entry host's span.
     #[prost(string, tag = "9")]
     pub traceparent: String,
-    /// Salt of the organisation for the target's prefix cache.
+    /// The organisation's salt for the target's prefix cache.
     #[prost(string, tag = "10")]
     pub cache_salt: String,
-    /// Whether the caller may hold this key from before.
+    /// Whether the caller supplied the key, so that an earlier attempt under
+    /// it may have run.
     #[prost(bool, tag = "11")]
     pub key_is_held: bool,
 }
@@ -453,15 +457,15 @@
     /// The attempt it belongs to.
     #[prost(uint64, tag = "2")]
     pub attempt: u64,
-    /// Where the piece starts in the answer, in bytes.
+    /// The offset of the piece in the answer, in bytes.
     #[prost(uint64, tag = "3")]
     pub offset_bytes: u64,
-    /// The piece.
+    /// The bytes of the piece.
     #[prost(bytes = "vec", tag = "4")]
     pub data: Vec<u8>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Ended {
     /// The run key's text.
@@ -473,15 +477,15 @@
     /// A result code's number.
     #[prost(uint32, tag = "3")]
     pub code: u32,
-    /// The whole answer's length in bytes.
+    /// The length of the complete answer in bytes.
     #[prost(uint64, tag = "4")]
     pub length_bytes: u64,
-    /// The whole answer's digest.
+    /// The digest of the complete answer.
     #[prost(bytes = "vec", tag = "5")]
     pub digest: Vec<u8>,
 }
 
-/// Nobody waits for an attempt any more.
+/// The caller no longer waits for an attempt.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Cancel {
     /// The run key's text.
@@ -490,27 +494,27 @@
     /// The attempt.
     #[prost(uint64, tag = "2")]
     pub attempt: u64,
-    /// Whether the run itself is to stop, not only this listener.
+    /// Whether to stop the run itself, and not only this listener's stream.
     #[prost(bool, tag = "3")]
     pub stop_run: bool,
 }
 
-/// Asks what is known of a run key.
+/// Queries the state of a run key.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Query {
     /// The run key's text.
     #[prost(string, tag = "1")]
     pub run_key: String,
-    /// Comes back in [`QueryReply`].
+    /// The query's number, which is returned in [`QueryReply`].
     #[prost(uint64, tag = "2")]
     pub ask: u64,
-    /// Whether an unseen key is to be barred from ever running, and a
-    /// running one stopped.
+    /// Whether to bar an unseen key from ever running and to stop a running
+    /// one.
     #[prost(bool, tag = "3")]
     pub revoke: bool,
 }
 
-/// What an agent knows of a run key.
+/// An agent's reply to a [`Query`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct QueryReply {
     /// The number from the [`Query`].
@@ -519,12 +523,12 @@
     /// A result code's number.
     #[prost(uint32, tag = "2")]
     pub code: u32,
-    /// The whole answer, if the run ended well and is still kept.
+    /// The complete answer, if the run succeeded and its answer is still kept.
     #[prost(bytes = "vec", tag = "3")]
     pub answer: Vec<u8>,
 }
 
-/// Still here.
+/// A periodic sign of life.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Heartbeat {
     /// Whether the sender takes no new work.
@@ -535,44 +539,45 @@
     pub settings_revision: u64,
 }
 
-/// Asks for a share of an organisation's limits.
+/// Requests a share of an organisation's limits.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ShareRequest {
     /// The organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
-    /// Requests that came in the last second or so.
+    /// The sender's recent demand: requests since its previous share request,
+    /// plus those in progress.
     #[prost(uint64, tag = "2")]
     pub demand_per_s: u64,
 }
 
-/// A lease of a share.
+/// A lease of a share of an organisation's limits.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ShareLease {
     /// The organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
-    /// Thousandths of each of the organisation's limits.
+    /// The leased part of each of the organisation's limits, in thousandths.
     #[prost(uint32, tag = "2")]
     pub share_permille: u32,
-    /// How long the share may be used from receipt of the lease.
+    /// How long the share may be used, from the receipt of the lease.
     #[prost(uint64, tag = "3")]
     pub ttl_ms: u64,
 }
 
-/// Leave: take no new work, end what runs.
+/// Drains an agent: it takes no new work and completes what runs.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Drain {}
 
-/// The live entry hosts.
+/// The entry hosts that take new work.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Entries {
-    /// Names and addresses for agents.
+    /// Their names and the addresses for agents and other entry hosts.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<PeerAddress>,
 }
 
-/// Asks a peer for a manifest's text.
+/// Requests an encoded manifest from a peer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ManifestRequest {
     /// The manifest's digest.
@@ -580,11 +585,11 @@
     pub manifest: Vec<u8>,
 }
 
-/// Asks for the settings in force.
+/// Requests the settings in force.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct SettingsRequest {}
 
-/// Leaves a tracker.
+/// Leaves a spread at its tracker.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaveSpread {
     /// The manifest's digest.
--- a/crates/raildale-core/src/rendezvous.rs
+++ b/crates/raildale-core/src/rendezvous.rs
@@ -1,13 +1,14 @@
-//! Rendezvous hashing: every process picks the same owner for a key.
+//! Rendezvous hashing: all processes choose the same owner for a key.
 //!
-//! Chosen over a hash ring because it needs no shared table: two processes
-//! that see the same live names agree, and a name that goes moves only the
-//! keys it owned. The cost is one hash a candidate, which at a few hundred
-//! entry hosts is microseconds, paid once a version and not once a request.
+//! Unlike a hash ring, it needs no shared table: two processes that see the
+//! same live names agree, and the loss of a name moves only the keys that it
+//! owned. The cost is one hash for each candidate. For a few hundred entry
+//! hosts that takes microseconds, once a version and not once a request.
 
 use crate::Name;
 
-/// The candidate with the highest weight for `key`.
+/// Returns the candidate with the highest weight for `key`; `None` if there
+/// are no candidates.
 pub fn owner<'a>(
     key: &[u8],
     candidates: impl Iterator<Item = &'a Name>,
@@ -15,7 +16,8 @@
     candidates.max_by_key(|name| (weight(key, name), *name))
 }
 
-/// The `count` best candidates for `key`, best first.
+/// Returns up to `count` candidates with the highest weights for `key`,
+/// highest first.
 pub fn owners<'a>(
     key: &[u8],
     candidates: impl Iterator<Item = &'a Name>,
