--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -17,11 +17,12 @@
 use crate::{
     Code, Digest, LogEvent, Manifest, Name,
     message::{
-        Body, Entries, Heartbeat, Identity, PeerAddress, Report, SettingsAsk,
+        Body, Entries, Heartbeat, Identity, PeerAddress, Report,
+        SettingsRequest,
     },
     rendezvous,
     request::ledger::{Ledger, LedgerConfig},
-    settings::{RevisionGate, Tree, revision::Offer},
+    settings::{RevisionGate, Tree, revision::RevisionOrder},
     spread::{
         download::{Download, Source},
         upload::UploadQueue,
@@ -515,7 +516,7 @@
             link.revision = heartbeat.settings_revision;
         }
         if heartbeat.settings_revision > self.revision.in_force() {
-            let ask = Body::SettingsAsk(SettingsAsk {});
+            let ask = Body::SettingsRequest(SettingsRequest {});
             effects.push(Effect::ToEntry(entry.clone(), ask));
         }
     }
@@ -528,10 +529,10 @@
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        match self.revision.weigh(revision) {
-            Offer::Newer => {}
-            Offer::Same => return,
-            Offer::Older => {
+        match self.revision.compare(revision) {
+            RevisionOrder::Newer => {}
+            RevisionOrder::Same => return,
+            RevisionOrder::Older => {
                 let detail = revision.to_string();
                 effects
                     .push(Effect::Log(LogEvent::SettingsOlderRefused, detail));
--- a/crates/raildale/src/fleet/agent/answer_writer.rs
+++ b/crates/raildale/src/fleet/agent/answer_writer.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use raildale_core::{
-    fleet_message::{FleetBody, GiveItem},
+    fleet_message::{FleetBody, ItemResponse},
     swarm::{WeightDigest, reducer::Content},
 };
 use tokio::{
@@ -136,10 +136,10 @@
         let link = self.link.clone();
         let mut permit = link.chunk_permits.acquire().await;
         let waited_ms = now_ms().saturating_sub(requested_ms);
-        let mut reply = GiveItem {
+        let mut reply = ItemResponse {
             question: request_id,
             waited_ms,
-            ..GiveItem::default()
+            ..ItemResponse::default()
         };
         let mut chunk = match content {
             Content::Chunk(data) => data,
@@ -162,18 +162,19 @@
             }
             let left_bytes = chunk.len() as u32;
             let chunk = Some(slice);
-            self.send(GiveItem { chunk, left_bytes, ..reply.clone() }).await?;
+            self.send(ItemResponse { chunk, left_bytes, ..reply.clone() })
+                .await?;
             if left_bytes == 0 {
                 return Ok(());
             }
         }
     }
 
-    async fn send(&mut self, reply: GiveItem) -> std::io::Result<()> {
+    async fn send(&mut self, reply: ItemResponse) -> std::io::Result<()> {
         let bytes = reply.chunk.as_ref().map_or(0, Bytes::len);
         self.link.pacer.wait(bytes).await;
-        let reply = GiveItem { sent_ms: now_ms(), ..reply };
-        let frame = frames::encode_frame(FleetBody::GiveItem(reply));
+        let reply = ItemResponse { sent_ms: now_ms(), ..reply };
+        let frame = frames::encode_frame(FleetBody::ItemResponse(reply));
         self.write.write_all(&frame).await
     }
 }
--- a/crates/raildale/src/fleet/agent/peer_connections.rs
+++ b/crates/raildale/src/fleet/agent/peer_connections.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use raildale_core::{
-    fleet_message::{AskItem, FleetBody, GiveItem, TookSlice},
+    fleet_message::{FleetBody, ItemRequest, ItemResponse, SliceAck},
     swarm::{Event, FetchError, Item, Source, WeightDigest},
 };
 use tokio::{net::TcpStream, sync::mpsc};
@@ -145,7 +145,7 @@
             }
             frame = framed.next() => {
                 let Some(frame) = frame else { return Ok(()) };
-                let Ok(FleetBody::GiveItem(reply)) =
+                let Ok(FleetBody::ItemResponse(reply)) =
                     frames::decode_frame(frame?.freeze())
                 else {
                     log::warn!("agent {address}: unexpected frame");
@@ -172,8 +172,8 @@
 /// once the last slice has arrived.
 fn assemble(
     pending: &mut HashMap<u64, PendingRequest>,
-    reply: GiveItem,
-) -> Option<(ItemFetch, GiveItem)> {
+    reply: ItemResponse,
+) -> Option<(ItemFetch, ItemResponse)> {
     let entry = pending.get_mut(&reply.question)?;
     entry.chunk.extend(reply.chunk.iter().flatten());
     if reply.left_bytes > 0 {
@@ -181,11 +181,11 @@
     }
     let PendingRequest { request, chunk } = pending.remove(&reply.question)?;
     let chunk = reply.chunk.is_some().then(|| chunk.freeze());
-    Some((request, GiveItem { chunk, ..reply }))
+    Some((request, ItemResponse { chunk, ..reply }))
 }
 
 fn slice_ack_frame() -> Bytes {
-    frames::encode_body(FleetBody::TookSlice(TookSlice {}))
+    frames::encode_body(FleetBody::SliceAck(SliceAck {}))
 }
 
 fn request_frame(id: u64, request: ItemFetch) -> Bytes {
@@ -193,7 +193,7 @@
         Item::Manifest => None,
         Item::Chunk(index) => Some(index),
     };
-    frames::encode_body(FleetBody::AskItem(AskItem {
+    frames::encode_body(FleetBody::ItemRequest(ItemRequest {
         question: id,
         version: request.version,
         chunk,
@@ -201,7 +201,11 @@
     }))
 }
 
-fn answer_event(request: ItemFetch, source: Source, reply: GiveItem) -> Event {
+fn answer_event(
+    request: ItemFetch,
+    source: Source,
+    reply: ItemResponse,
+) -> Event {
     let version = request.version;
     match request.item {
         Item::Manifest => Event::Manifest {
--- a/crates/raildale/src/fleet/agent/reports.rs
+++ b/crates/raildale/src/fleet/agent/reports.rs
@@ -10,7 +10,7 @@
 
 use raildale_core::{
     Name,
-    fleet_message::{AskBriefing, Briefing, Note, Report},
+    fleet_message::{Briefing, BriefingRequest, Note, Report},
     gateway::TargetReport,
     swarm::{Event, Peer, QueueDelay},
 };
@@ -109,9 +109,9 @@
     pub async fn request_briefing(
         self,
         seeds: Vec<SocketAddr>,
-        request: AskBriefing,
+        request: BriefingRequest,
     ) {
-        let note = frames::encode_note(Note::AskBriefing(request));
+        let note = frames::encode_note(Note::BriefingRequest(request));
         let mut pause = MIN_REQUEST_PAUSE;
         while !self.has_agent_list.get() {
             for seed in &seeds {
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -4,7 +4,7 @@
 
 use futures_util::StreamExt;
 use raildale_core::{
-    fleet_message::{AskItem, FleetBody},
+    fleet_message::{FleetBody, ItemRequest},
     swarm::{Event, Item, Ticket, reducer::Content},
 };
 use tokio::{
@@ -106,10 +106,10 @@
                 .map_err(Error::from)
                 .and_then(|frame| frames::decode_frame(frame.freeze()));
             match body {
-                Ok(FleetBody::AskItem(ask)) => {
+                Ok(FleetBody::ItemRequest(ask)) => {
                     self.handle_request(ask, answers)
                 }
-                Ok(FleetBody::TookSlice(_)) => window.acknowledge(),
+                Ok(FleetBody::SliceAck(_)) => window.acknowledge(),
                 Ok(_) => {
                     log::warn!("agent {from}: unexpected frame");
                     return;
@@ -122,7 +122,7 @@
         }
     }
 
-    fn handle_request(&self, ask: AskItem, answers: &Answers) {
+    fn handle_request(&self, ask: ItemRequest, answers: &Answers) {
         let ticket = {
             let mut open = self.open.borrow_mut();
             open.last_ticket += 1;
@@ -136,7 +136,7 @@
             ticket
         };
         let item = ask.chunk.map_or(Item::Manifest, Item::Chunk);
-        let AskItem { version, hops, .. } = ask;
+        let ItemRequest { version, hops, .. } = ask;
         // The main loop, which receives events, only ends with the process.
         let _ = self.events.send(Event::Asked { ticket, version, item, hops });
     }
--- a/crates/raildale/src/fleet/entry/briefings.rs
+++ b/crates/raildale/src/fleet/entry/briefings.rs
@@ -4,7 +4,7 @@
 
 use raildale_core::{
     Name,
-    fleet_message::{AgentEntry, AskBriefing, Briefing, Named, Note},
+    fleet_message::{AgentEntry, Briefing, BriefingRequest, Note, VersionAge},
     gateway::{Routing, Service},
 };
 
@@ -99,7 +99,7 @@
 pub fn for_agent<P>(
     host: &EntryHost<P>,
     ip: IpAddr,
-    ask: &AskBriefing,
+    ask: &BriefingRequest,
 ) -> Option<Vec<u8>>
 where
     P: Dialect + Store + 'static,
@@ -248,7 +248,10 @@
 }
 
 /// Returns the named versions of a service's models, with their ages.
-fn named_versions<P>(host: &EntryHost<P>, service: &Service) -> Vec<Named> {
+fn named_versions<P>(
+    host: &EntryHost<P>,
+    service: &Service,
+) -> Vec<VersionAge> {
     let now = now_ms();
     let models = service.engine.as_ref().map_or(&[][..], |e| &e.models);
     let gateway = host.gateway.borrow();
@@ -256,7 +259,7 @@
         .versions()
         .filter(|(model, _)| models.contains(model))
         .flat_map(|(_, versions)| versions)
-        .map(|v| Named {
+        .map(|v| VersionAge {
             version: v.version,
             age_ms: now.saturating_sub(v.named_ms),
         })
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -4,7 +4,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::{Change, Extent, Kind, Snapshot, Stamp, StoredObject},
-    fleet_message::ToldVersion,
+    fleet_message::ModelVersionAge,
     gateway::{
         Target,
         ends::StartId,
@@ -130,11 +130,11 @@
     /// named.
     pub fn handle_peer_versions(
         &self,
-        versions: Vec<ToldVersion>,
+        versions: Vec<ModelVersionAge>,
         heard_age_ms: Option<u64>,
     ) {
         let now = now_ms();
-        for ToldVersion { model, version, age_ms } in versions {
+        for ModelVersionAge { model, version, age_ms } in versions {
             let named_ms = now.saturating_sub(age_ms);
             let named = NamedVersion { version, named_ms };
             let from = "from=entry host";
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -4,7 +4,7 @@
 
 use raildale_core::{
     LogEvent,
-    fleet_message::ToldNotice,
+    fleet_message::NoticeEntry,
     gateway::{NoticeNews, TargetNotice},
 };
 
@@ -55,7 +55,11 @@
     }
 
     /// Handles the notices that the entry host at `from` reports.
-    pub fn handle_peer_notices(&self, from: IpAddr, reports: Vec<ToldNotice>) {
+    pub fn handle_peer_notices(
+        &self,
+        from: IpAddr,
+        reports: Vec<NoticeEntry>,
+    ) {
         let now = now_ms();
         for report in reports {
             let mut gateway = self.gateway.borrow_mut();
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -4,7 +4,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::{Kind, Progress, Snapshot, Stamp, StoredObject},
-    fleet_message::ToldDeparture,
+    fleet_message::DepartureEntry,
     gateway::ends::StartId,
 };
 
@@ -88,13 +88,13 @@
 
     /// Returns the starts of targets that have left the list, for another
     /// entry host.
-    pub fn departed(&self) -> Vec<ToldDeparture> {
+    pub fn departed(&self) -> Vec<DepartureEntry> {
         self.gateway.borrow().targets.departed.told(now_ms())
     }
 
     /// Handles the departed starts that another entry host reports, and
     /// removes targets whose entries are copies from before a departure.
-    pub fn handle_peer_departures(&self, departures: Vec<ToldDeparture>) {
+    pub fn handle_peer_departures(&self, departures: Vec<DepartureEntry>) {
         if departures.is_empty() {
             return;
         }
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -5,7 +5,7 @@
 use raildale_core::{
     LogEvent,
     catalog::StoredObject,
-    fleet_message::ToldSuspect,
+    fleet_message::SuspectEntry,
     gateway::{Fingerprint, quarantine::Record},
 };
 
@@ -34,7 +34,7 @@
     }
 
     /// Handles the suspects that another entry host reports.
-    pub fn handle_peer_suspects(&self, suspects: Vec<ToldSuspect>) {
+    pub fn handle_peer_suspects(&self, suspects: Vec<SuspectEntry>) {
         if suspects.is_empty() {
             return;
         }
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -17,7 +17,7 @@
 use raildale_core::{
     LogEvent, Name,
     catalog::{Extent, Kind, Stamp},
-    fleet_message::{AskSnapshot, FleetBody, GiveSnapshot},
+    fleet_message::{FleetBody, SnapshotRequest, SnapshotResponse},
 };
 use tokio::{
     io::{AsyncRead, AsyncWriteExt},
@@ -98,12 +98,12 @@
 {
     let mut framed = Framed::new(&mut stream, codec::splitter());
     let kind = match next_body(&mut framed).await? {
-        FleetBody::AskSnapshot(ask) => Kind::from_number(ask.kind)
+        FleetBody::SnapshotRequest(ask) => Kind::from_number(ask.kind)
             .ok_or(Error::new(ErrorKind::Frame, "unknown kind of object"))?,
         _ => return Err(Error::new(ErrorKind::Frame, "unexpected message")),
     };
     let reply = snapshot_reply(host, kind)?;
-    let frame = frames::encode_frame(FleetBody::GiveSnapshot(reply));
+    let frame = frames::encode_frame(FleetBody::SnapshotResponse(reply));
     stream.write_all(&frame).await?;
     Ok(())
 }
@@ -112,7 +112,7 @@
 fn snapshot_reply<P>(
     host: &EntryHost<P>,
     kind: Kind,
-) -> Result<GiveSnapshot, Error>
+) -> Result<SnapshotResponse, Error>
 where
     P: Dialect + Store + 'static,
 {
@@ -127,7 +127,7 @@
     let Stamp { era, revision } = snapshot.stamp;
     let Extent { changed, oldest_era } = host.known.extent(kind);
     let packed = host.packed.borrow_mut().pack(kind, snapshot)?;
-    Ok(GiveSnapshot {
+    Ok(SnapshotResponse {
         kind: kind.number(),
         revision,
         changed_revision: changed.revision,
@@ -181,7 +181,7 @@
     host: &EntryHost<P>,
     ip: IpAddr,
     kind: Kind,
-    reply: GiveSnapshot,
+    reply: SnapshotResponse,
 ) -> Result<(), Error>
 where
     P: Dialect + Store + 'static,
@@ -200,13 +200,17 @@
     Ok(())
 }
 
-async fn fetch(from: SocketAddr, kind: Kind) -> Result<GiveSnapshot, Error> {
+async fn fetch(
+    from: SocketAddr,
+    kind: Kind,
+) -> Result<SnapshotResponse, Error> {
     let stream = frames::connect(from).await?;
     let mut framed = Framed::new(stream, codec::splitter());
-    let ask = FleetBody::AskSnapshot(AskSnapshot { kind: kind.number() });
+    let ask =
+        FleetBody::SnapshotRequest(SnapshotRequest { kind: kind.number() });
     framed.send(frames::encode_body(ask)).await?;
     match next_body(&mut framed).await? {
-        FleetBody::GiveSnapshot(reply) => Ok(reply),
+        FleetBody::SnapshotResponse(reply) => Ok(reply),
         _ => Err(Error::new(ErrorKind::Frame, "unexpected message")),
     }
 }
--- a/crates/raildale/src/http_api/answers.rs
+++ b/crates/raildale/src/http_api/answers.rs
@@ -6,7 +6,7 @@
     hyper::{Response, StatusCode},
 };
 use http_body_util::{BodyExt, Full};
-use raildale_core::{Code, entry::Final};
+use raildale_core::{Code, entry::FinalResponse};
 use serde_json::{Value, json};
 
 /// A whole answer as JSON.
@@ -27,7 +27,7 @@
 pub(super) fn coded(code: Code, detail: &str) -> Response<Body> {
     let value = json!({
         "code": code.number(),
-        "ran": code.ran().word(),
+        "ran": code.ran().as_str(),
         "text": code.text(),
         "detail": detail,
     });
@@ -35,7 +35,7 @@
 }
 
 /// The last word on a request.
-pub(super) fn last(last: &Final) -> Response<Body> {
+pub(super) fn last(last: &FinalResponse) -> Response<Body> {
     let value = last_value(last);
     let mut response = answer(last.code.http_status(), &value);
     let headers = response.headers_mut();
@@ -54,10 +54,10 @@
 }
 
 /// The last word as JSON, also the last line of a streamed answer.
-pub(super) fn last_value(last: &Final) -> Value {
+pub(super) fn last_value(last: &FinalResponse) -> Value {
     json!({
         "code": last.code.number(),
-        "ran": last.code.ran().word(),
+        "ran": last.code.ran().as_str(),
         "text": last.code.text(),
         "answer": String::from_utf8_lossy(&last.answer),
         "run_key": last.run_key.as_deref(),
