--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, when it waits, and when it is refused.
+//! Decides whether a request is sent to a target, waits or is refused.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -20,76 +20,76 @@
 };
 use crate::{Code, Name};
 
-/// What an entry host is told at its start.
+/// Start-up configuration of a [`Gateway`].
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// The data centre that it stands in.
+    /// The data centre of this entry host.
     pub data_centre: Name,
     /// The bound on repeats.
     pub retries: RetryBound,
-    /// Milliseconds after which a named version must be the oldest that
-    /// starts work; 0 if there is no such bound.
+    /// Milliseconds from the naming of a version until no older version may
+    /// start work; 0 disables the bound.
     pub version_ms: u64,
 }
 
-/// An entry host's beliefs and choices about requests.
+/// An entry host's state and decisions for requests to targets.
 #[derive(Debug)]
 pub struct Gateway {
     pub(super) config: GatewayConfig,
     routing: Option<Arc<Routing>>,
-    /// Every target that is known.
+    /// The known targets.
     pub targets: Targets,
     budgets: HashMap<Name, RetryBudget>,
     pub(super) versions: HashMap<Name, Vec<NamedVersion>>,
-    /// When the store last told some entry host which versions are named, as
-    /// far as known here.
+    /// When the store last reported the named versions to any entry host, as
+    /// far as known here, on this process's clock.
     pub(super) versions_heard_ms: Option<u64>,
-    /// Entry hosts that are alive.
+    /// The number of entry hosts that are alive.
     entry_hosts: usize,
-    /// Entry hosts that may be there, alive or not.
+    /// The number of entry hosts that may exist, alive or not.
     known_entry_hosts: usize,
     arrivals: Fading,
     pub(super) room: WaitingRoom,
-    /// Requests that end the targets that run them.
+    /// Detection of requests that crash their targets.
     pub quarantine: Quarantine,
 }
 
-/// What is known of the targets that could take a request.
+/// Availability of the targets that could take a request.
 #[derive(Clone, Copy, Debug)]
 struct Fit {
-    /// Whether there are any.
+    /// Whether there are any; if so, they are only full.
     is_full: bool,
-    /// Milliseconds until one takes requests again.
+    /// Milliseconds until one takes requests again; 0 if one does now.
     blocked_ms: u64,
 }
 
-/// Milliseconds between two looks for a target that has room.
+/// The interval at which a waiting request looks for a target with room.
 const LOOK_AGAIN_MS: u64 = 20;
 
-/// A try whose caller waits at least this share of the route's bound is its
-/// first.
+/// A try counts as the caller's first if its deadline is at least this share
+/// of the route's time-out.
 const FIRST_TRY_SHARE: f64 = 0.9;
 
-/// The share of other entry hosts that choose among the same targets: those
-/// in the same data centre, and others when theirs are full.
+/// The share of the other entry hosts that compete for the same targets: those
+/// in the same data centre, and others when the targets of theirs are full.
 const ALIKE_SHARE: f64 = 0.4;
 
-/// Time after which a request counts half towards the demand, in
-/// milliseconds: heartbeats tell it every 400 ms.
+/// Half-life of a request's weight in the demand, in milliseconds. Heartbeats
+/// carry the demand every 400 ms.
 const DEMAND_HALF_LIFE_MS: f64 = 1_500.0;
 
-/// Urgency of a stream that goes on: its next event is due before the first
-/// one of any other.
+/// Urgency of a stream that is resumed: its next event is due before the first
+/// event of any other request.
 const URGENCY_GOES_ON: u8 = 2;
 
-/// Urgency of a request that can still be in time.
+/// Urgency of a request that can still meet its goal.
 const URGENCY_IN_TIME: u8 = 3;
 
 /// Urgency of a request whose goal has passed.
 const URGENCY_LATE: u8 = 7;
 
 impl Gateway {
-    /// An entry host that knows nothing yet.
+    /// Creates a gateway without a configuration, targets or peers.
     pub fn new(config: GatewayConfig) -> Gateway {
         Gateway {
             config,
@@ -106,12 +106,13 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` until there is one.
     pub fn routing(&self) -> Option<&Arc<Routing>> {
         self.routing.as_ref()
     }
 
-    /// Puts a configuration in force; an older one is refused.
+    /// Puts a configuration in force and returns whether it was newer than the
+    /// current one; an older one is ignored.
     pub fn set_routing(&mut self, routing: Routing) -> bool {
         let is_newer = self
             .routing
@@ -123,8 +124,9 @@
         is_newer
     }
 
-    /// Notes which entry hosts are alive, in an order on which all agree, and
-    /// the place of this one: they share the targets' slots.
+    /// Sets the entry hosts that are alive, which share the targets' slots.
+    /// `hosts` must be in the same order on all of them; `own` is this host's
+    /// index.
     pub fn set_entry_hosts(&mut self, hosts: Vec<Sender>, own: usize) {
         self.entry_hosts = hosts.len().max(1);
         let others = (self.entry_hosts - 1) as f64;
@@ -133,22 +135,23 @@
         self.targets.set_senders(1.0 + others * ALIKE_SHARE, shares);
     }
 
-    /// Notes how many entry hosts there may be: these share the bound on
-    /// repeats, and what targets with a limit take. One that is silent or cut
-    /// off may still spend its part.
+    /// Sets the number of entry hosts that may exist. They share the retry
+    /// bound and the limits that targets name, since one that is silent or cut
+    /// off may still use its part.
     pub fn set_known_entry_hosts(&mut self, count: usize) {
         self.known_entry_hosts = count.max(1);
         let silent = self.known_entry_hosts.saturating_sub(self.entry_hosts);
         self.targets.set_silent_senders(silent);
     }
 
-    /// Requests that come in a second, as of late: what this entry host needs
-    /// targets for.
+    /// Returns the recent rate of incoming requests per second: this entry
+    /// host's demand for targets.
     pub fn demand_per_s(&self, now_ms: u64) -> f64 {
         self.arrivals.rate_per_s(now_ms)
     }
 
-    /// Lets a request in, or refuses it.
+    /// Admits or refuses a request. `draw` is a random number that selects the
+    /// service.
     ///
     /// # Errors
     ///
@@ -198,10 +201,11 @@
         })
     }
 
-    /// Where a request goes now. To be asked again after the time told as
-    /// long as it waits.
+    /// Decides what to do with a request now. On [`Next::Wait`], call this
+    /// again after the given time.
     ///
-    /// `since_ms` is when it began to wait for this attempt.
+    /// `since_ms` is when the request began to wait for this attempt, and
+    /// `draw` a random number for the choice of a target.
     pub fn next(
         &mut self,
         now_ms: u64,
@@ -286,11 +290,12 @@
         Next::Send(dispatch)
     }
 
-    /// What becomes of a request that must not be sent now, since others like
-    /// it ended the targets that ran them; `None` if it may be sent.
+    /// Returns what to do with a request that must not be sent now because
+    /// requests with its fingerprint crashed their targets; `None` if it may
+    /// be sent.
     ///
-    /// One that waits for an earlier try of its own kind does so as long as
-    /// it can be in time.
+    /// A request that waits for an earlier try with its fingerprint does so
+    /// for as long as it can meet its goal.
     fn keep(
         &self,
         now_ms: u64,
@@ -312,7 +317,7 @@
         Some(Next::Refuse(refusal.with_obstacle(Obstacle::Quarantine)))
     }
 
-    /// Starts of targets that have ended since this was last asked.
+    /// Returns the target starts that have ended since the last call.
     pub fn take_ends(&mut self, now_ms: u64) -> Vec<TargetEnd> {
         let ends = self.targets.take_ends();
         for end in &ends {
@@ -323,7 +328,7 @@
         ends
     }
 
-    /// What a target has to be for a request.
+    /// Returns the requirements of a request on its target.
     fn need<'a>(
         &'a self,
         now_ms: u64,
@@ -341,8 +346,8 @@
         }
     }
 
-    /// Whether a target that did not have a request before could take it
-    /// now.
+    /// Returns whether a target that has not had a request before could take
+    /// it now.
     pub(super) fn has_room_elsewhere(
         &self,
         now_ms: u64,
@@ -354,7 +359,7 @@
         self.targets.any_has_room(now_ms, need)
     }
 
-    /// What becomes of a request that no target takes now.
+    /// Decides whether a request that no target takes now waits or is refused.
     fn wait_or_refuse(
         &mut self,
         now_ms: u64,
@@ -387,7 +392,7 @@
         }
     }
 
-    /// A request no longer waits here: its caller has left.
+    /// Removes a request whose caller has left from the queue.
     pub fn stop_waiting(&mut self, request: &mut Admission) {
         self.room.leave(request);
     }
@@ -400,9 +405,10 @@
     }
 }
 
-/// The version to insist on: none while the target's agent tells what it
-/// serves. A target refuses any other version, a newer one too, so insisting
-/// on it costs an attempt when the target has just changed over.
+/// Returns the version to require of a target; `None` while its agent reports
+/// the version that it serves. A target refuses any other version, even a
+/// newer one, so that requiring it costs an attempt when the target has just
+/// switched.
 fn unconfirmed_version(
     target: &Target,
     now_ms: u64,
