--- a/crates/raildale-core/src/gateway/event_stream.rs
+++ b/crates/raildale-core/src/gateway/event_stream.rs
@@ -1,11 +1,12 @@
-//! Whole events out of the bytes of an event stream.
+//! Splits the bytes of an event stream into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Cuts a stream's bytes at the end of events.
+/// Splits a stream's bytes at the ends of events.
 ///
-/// Only whole events leave, so that a stream which breaks off inside an
-/// event can go on at another target without a doubled or torn piece.
+/// Only whole events are passed on, so that a stream that breaks off within an
+/// event can be resumed at another target without a duplicate or partial
+/// event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -13,12 +14,12 @@
 }
 
 impl EventSplitter {
-    /// A splitter at the start of a stream.
+    /// Creates a splitter for the beginning of a stream.
     pub fn new() -> EventSplitter {
         EventSplitter::default()
     }
 
-    /// Takes bytes in; returns the whole events that they complete.
+    /// Adds bytes and returns the whole events that they complete, if any.
     pub fn push(&mut self, data: Bytes) -> Option<Bytes> {
         if self.pending.is_empty() && data.ends_with(b"\n\n") {
             self.note_ids(&data);
@@ -32,22 +33,24 @@
         Some(whole)
     }
 
-    /// The id of the last whole event that left.
+    /// Returns the id of the last whole event that was returned, if it had
+    /// one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether bytes of an unfinished event are held back.
+    /// Returns whether bytes of an incomplete event are buffered.
     pub fn is_torn(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// What is held back, for a stream that ended by itself.
+    /// Removes and returns the buffered bytes, for a stream that has ended.
     pub fn take_rest(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
-    /// Forgets what is held back; the stream goes on with another run.
+    /// Discards the buffered bytes, for a stream that is resumed with another
+    /// run.
     pub fn drop_torn(&mut self) {
         self.pending.clear();
     }
