--- a/crates/raildale-core/src/gateway/fading.rs
+++ b/crates/raildale-core/src/gateway/fading.rs
@@ -1,6 +1,6 @@
-//! Sums of recent values, fading with time.
+//! Exponentially decaying sums of recent values.
 
-/// A sum and a count of values that fade alike.
+/// A sum and a count of values that decay with the same half-life.
 #[derive(Clone, Copy, Debug)]
 pub struct Fading {
     half_life_ms: f64,
@@ -10,12 +10,12 @@
 }
 
 impl Fading {
-    /// Nothing seen; what is seen counts half after `half_life_ms`.
+    /// Creates an empty sum; a value's weight halves every `half_life_ms`.
     pub fn new(half_life_ms: f64) -> Fading {
         Fading { half_life_ms, sum: 0.0, count: 0.0, at_ms: 0 }
     }
 
-    /// Takes a value in.
+    /// Adds a value.
     pub fn add(&mut self, now_ms: u64, value: f64) {
         let kept = self.kept(now_ms);
         self.sum = self.sum * kept + value;
@@ -23,20 +23,21 @@
         self.at_ms = now_ms;
     }
 
-    /// The mean of the values, with `prior_count` of `prior` added.
+    /// Returns the weighted mean of the values and `prior`, which has a weight
+    /// of `prior_count`.
     pub fn mean(&self, now_ms: u64, prior: f64, prior_count: f64) -> f64 {
         let kept = self.kept(now_ms);
         let sum = self.sum * kept + prior * prior_count;
         sum / (self.count * kept + prior_count)
     }
 
-    /// Values in a second.
+    /// Returns the recent rate of values per second.
     pub fn rate_per_s(&self, now_ms: u64) -> f64 {
         let seconds = self.half_life_ms / 1e3;
         self.count * self.kept(now_ms) * std::f64::consts::LN_2 / seconds
     }
 
-    /// What has not faded since the last value.
+    /// Returns the factor by which the sum has decayed since the last value.
     fn kept(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         (-age_ms / self.half_life_ms * std::f64::consts::LN_2).exp()
