--- a/crates/raildale-core/src/gateway/fingerprint.rs
+++ b/crates/raildale-core/src/gateway/fingerprint.rs
@@ -1,28 +1,29 @@
-//! What tells that two tries are of one request.
+//! Identifies the tries of one request.
 
 use std::fmt;
 
-/// Names a request by all that a target is sent of it, and who sends it; the
-/// same for each of its tries, at whichever entry host.
+/// Identifies a request by its caller and everything that a target is sent of
+/// it. All tries of a request have the same fingerprint at every entry host.
 ///
-/// A cryptographic digest, cut short: nobody finds a request of another
-/// organisation's fingerprint, since the key is part of what is digested.
+/// It is a truncated cryptographic digest. The key is part of the input, so
+/// that nobody can construct a request with the fingerprint of another
+/// organisation's.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint {
-    /// Names the caller's key.
+    /// Truncated digest of the caller's key.
     pub caller: u32,
-    /// Names the request.
+    /// Truncated digest of the key and all parts of the request.
     pub request: u64,
 }
 
 impl Fingerprint {
-    /// The fingerprint of a caller's request, given its parts: method, host,
-    /// path with query, and the whole body.
+    /// Computes the fingerprint of a request from the caller's key and the
+    /// request's parts: method, host, path with query, and the whole body.
     pub fn new(key: Option<&str>, parts: &[&[u8]]) -> Fingerprint {
         let key = key.unwrap_or_default().as_bytes();
         let mut hasher = blake3::Hasher::new();
         for part in [key].iter().chain(parts) {
-            // The length keeps two parts from passing for two others.
+            // The length prefix makes the boundaries of the parts unambiguous.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Reads what it is written as; `None` if that is another text.
+    /// Parses the output of [`Display`](fmt::Display); `None` if the text is
+    /// not a fingerprint.
     pub fn from_text(text: &str) -> Option<Fingerprint> {
         let (caller, request) = text.split_at_checked(8)?;
         Some(Fingerprint {
@@ -42,7 +44,7 @@
     }
 }
 
-/// The first eight bytes of a digest, as a number.
+/// Returns the first eight bytes of a digest as a little-endian number.
 pub(super) fn first_eight(digest: &blake3::Hash) -> u64 {
     let bytes: [u8; 8] = std::array::from_fn(|i| digest.as_bytes()[i]);
     u64::from_le_bytes(bytes)
