--- a/crates/raildale-core/src/gateway/mod.rs
+++ b/crates/raildale-core/src/gateway/mod.rs
@@ -1,25 +1,27 @@
-//! What an entry host decides about requests that it passes straight to
+//! Request routing on an entry host for requests that are proxied directly to
 //! targets.
 //!
-//! The shell reads a request, asks [`Gateway::admit`] where it may go, sends
-//! it, and tells what became of it; every choice is made here.
+//! The caller of this module reads a request, asks [`Gateway::admit`] and
+//! [`Gateway::next`] where it may go, sends it, and reports the outcome. The
+//! module itself does no I/O.
 //!
-//! * [`routes`]: which service a request is for, and on which terms.
-//! * [`targets`]: what is believed of each target, and which one to pick.
-//! * [`shares`]: which part of a target's slots this entry host may count on.
-//! * [`lapse`]: targets that leave the list and may come back.
-//! * [`fading`]: what was seen of late.
-//! * [`request`]: a request on its way, and what becomes of it.
-//! * [`admission`]: where a request goes, when it waits, and when it is refused.
-//! * [`notices`]: what targets say of themselves in their answers.
-//! * [`outcomes`]: what follows from how it went at a target.
-//! * [`versions`]: which versions of weights bound what may start.
-//! * [`waiting`]: how long a request waits for a target, and what then.
-//! * [`quarantine`]: requests that end the targets that run them.
-//! * [`retry_budget`]: how many repeats this process may still send.
-//! * [`ends`]: starts of targets, and that one has ended.
-//! * [`event_stream`]: whole events out of a stream's bytes.
-//! * [`fingerprint`]: what tells that two tries are of one request.
+//! * [`routes`]: services, routes and keys of the configuration.
+//! * [`targets`]: the known targets and the choice among them.
+//! * [`target`]: load and health of one target.
+//! * [`shares`]: the part of each target's slots that this entry host owns.
+//! * [`lapse`]: targets that left the list during a store outage.
+//! * [`decaying_sum`]: exponentially decaying means and rates.
+//! * [`request`]: an admitted request and the decisions made about it.
+//! * [`admission`]: whether a request is sent, waits or is refused.
+//! * [`notices`]: limits and notices that targets send in response headers.
+//! * [`outcomes`]: handling of the outcome of an attempt.
+//! * [`versions`]: named versions of weights and the bounds they set.
+//! * [`waiting`]: queues of requests that wait for a target.
+//! * [`quarantine`]: detection of requests that crash their targets.
+//! * [`retry_budget`]: the bound on repeats that this process may send.
+//! * [`target_end`]: identity of a target's start, and the end of a start.
+//! * [`event_stream`]: splitting of a stream into whole events.
+//! * [`fingerprint`]: identity of a request across its tries.
 
 pub mod admission;
 pub mod ends;
