--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -1,5 +1,5 @@
-//! The limit that one start of a target names, and what all entry hosts have
-//! sent to it of late.
+//! The limit that one start of a target names, and the requests that all entry
+//! hosts have recently sent to it.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,24 +12,26 @@
 };
 use crate::gateway::ends::StartId;
 
-/// The span over which targets count what they get, in milliseconds, as the
-/// platform's users tell.
+/// The time window in which targets count their requests, in milliseconds, as
+/// the platform documents it.
 pub(super) const WINDOW_MS: u64 = 4_000;
 
-/// Time from learning of a limit until the others' counts are known, in
-/// milliseconds: a heartbeat and a bit.
+/// The time after learning of a limit until the counts of the other entry
+/// hosts are known, in milliseconds: a little more than a heartbeat interval.
 const UNTOLD_MS: u64 = 500;
 
-/// The least rate that is kept, in requests a second: a target that takes
-/// none is asked now and then, since only an answer can end its limit.
+/// The minimum rate that is used, in requests per second. A target that
+/// accepts none is still tried now and then, since only an answer can end its
+/// limit.
 const LEAST_PER_S: f64 = 0.1;
 
-/// When this entry host sent requests to a start, within [`WINDOW_MS`].
+/// The times at which this entry host sent requests to a start, within
+/// [`WINDOW_MS`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct SentTimes(VecDeque<u64>);
 
 impl SentTimes {
-    /// Counts a request out.
+    /// Counts a request.
     pub(super) fn add(&mut self, now_ms: u64) {
         self.0.push_back(now_ms);
         while self.0.front().is_some_and(|ms| ms + WINDOW_MS <= now_ms) {
@@ -37,39 +39,40 @@
         }
     }
 
-    /// Requests within the window.
+    /// Returns the number of requests within the window.
     pub(super) fn count(&self, now_ms: u64) -> u32 {
         let is_late = |ms: &&u64| **ms + WINDOW_MS > now_ms;
         self.0.iter().rev().take_while(is_late).count() as u32
     }
 }
 
-/// Requests that another entry host has sent to a start within the window, as
-/// it told.
+/// The number of requests that another entry host reported to have sent to a
+/// start within the window.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     at_ms: u64,
     count: u32,
 }
 
-/// What is known of the limit of one start.
+/// The limit of one start.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Limit {
-    /// Requests a second; `None` if it names no limit.
+    /// The limit in requests per second; `None` if there is none.
     pub(super) per_s: Option<f64>,
-    /// When it said so last.
+    /// When the start last stated the limit or its end.
     pub(super) said_ms: u64,
-    /// The last token that was used, by the time of day in seconds.
+    /// The last token that was used, as a time of day in seconds.
     used_s: f64,
-    /// Until when the others' counts are on their way.
+    /// Until when the counts of the other entry hosts may be outstanding.
     untold_until_ms: u64,
-    /// What the other entry hosts have sent there.
+    /// The requests of the other entry hosts.
     others: HashMap<IpAddr, Sent>,
 }
 
 impl Limit {
-    /// Takes over a limit that was named, or ended, at `said_ms`; by the time
-    /// of day it is `now_s`.
+    /// Applies a limit, or its end, that was stated at `stated_ms`, unless a
+    /// later statement is known. `now_s` is the time of day in seconds.
+    /// Returns the change, if there is one.
     pub(super) fn say(
         &mut self,
         per_s: Option<f64>,
@@ -83,7 +86,7 @@
         self.said_ms = said_ms;
         let before = std::mem::replace(&mut self.per_s, per_s);
         if before.is_none() && per_s.is_some() {
-            // What is on its way has used the tokens so far.
+            // Requests in flight have used the tokens so far.
             self.used_s = now_s;
             self.untold_until_ms = now_ms + UNTOLD_MS;
         }
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Takes over how many requests the entry host at `from` has sent there.
+    /// Records how many requests the entry host at `from` has sent to the
+    /// start.
     pub(super) fn note_other(
         &mut self,
         now_ms: u64,
@@ -106,22 +110,23 @@
         self.others.insert(from, Sent { at_ms: now_ms, count });
     }
 
-    /// Forgets counts that are too old.
+    /// Removes counts that are too old.
     pub(super) fn sweep(&mut self, now_ms: u64) {
         self.others.retain(|_, sent| now_ms < sent.at_ms + WINDOW_MS);
     }
 
-    /// The time of day was set to `now_s`; one that was set back is not waited
-    /// for.
+    /// Handles a change of the time of day to `now_s`. If the clock was set
+    /// back, tokens are not delayed until it has caught up.
     pub(super) fn note_time_of_day(&mut self, now_s: f64) {
         self.used_s = self.used_s.min(now_s);
     }
 
-    /// Whether the start takes one more request of this entry host, which has
-    /// sent it `own` within the window and whose part is `part`.
+    /// Returns whether the start accepts one more request of this entry host,
+    /// which has sent `own` requests within the window and owns `part` of the
+    /// limit.
     ///
-    /// What all have sent lately counts as well as the tokens: a start that
-    /// names a limit has just got more than that.
+    /// The recent requests of all entry hosts count in addition to the tokens:
+    /// a start that names a limit has just received more than that.
     pub(super) fn admits(
         &self,
         now_ms: u64,
@@ -132,7 +137,8 @@
     ) -> bool {
         let Some(quota) = self.quota(start, part) else { return true };
         let most = quota.most_in(WINDOW_MS as f64 / 1e3);
-        // Until the others' counts have come, all may have sent as much.
+        // Until the counts of the others are known, each may have sent as
+        // much.
         let is_in_doubt = now_ms < self.untold_until_ms;
         if is_in_doubt && f64::from(own) > most * quota.part.width {
             return false;
@@ -141,7 +147,7 @@
             && quota.token(now_s, self.used_s).is_some()
     }
 
-    /// Uses a token.
+    /// Uses a token for a request.
     pub(super) fn note_sent(
         &mut self,
         now_s: f64,
@@ -152,8 +158,9 @@
         self.used_s = quota.token(now_s, self.used_s).unwrap_or(now_s);
     }
 
-    /// Milliseconds until what all have sent is within the limit again, if it
-    /// has come evenly; 0 if it is now.
+    /// Returns the milliseconds until the requests of all entry hosts are
+    /// within the limit again, assuming that they were sent at an even rate; 0
+    /// if they are now.
     pub(super) fn over_ms(
         &self,
         now_ms: u64,
