--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -1,13 +1,13 @@
-//! What targets say of themselves in the heads of their answers.
+//! Notices that targets send in the heads of their answers.
 //!
-//! It is kept by the start that said it, apart from the list of targets: an
-//! entry that goes and comes back, or another start at the same address, does
-//! not change what a start has said. Entry hosts tell one another; the word
-//! that was said last holds.
+//! Notices are kept by the start that sent them, apart from the list of
+//! targets: they are not affected by an entry that lapses and returns, or by
+//! another start at the same address. Entry hosts exchange notices; the latest
+//! statement holds.
 //!
-//! * `limit`: the limit that a start names, and what was sent to it.
-//! * [`quota`]: which requests of a limit are this entry host's.
-//! * `told`: what entry hosts tell one another.
+//! * `limit`: the limit of a start, and the requests sent to it.
+//! * [`quota`]: this entry host's part of the requests within a limit.
+//! * `gossip`: exchange of notices between entry hosts.
 
 mod limit;
 pub mod quota;
@@ -21,77 +21,79 @@
 };
 use super::ends::StartId;
 
-/// What the head of one answer says of its target.
+/// The notice in the head of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetNotice {
-    /// Requests a second that it takes from all entry hosts together; `None`
-    /// if it names no limit.
+    /// Requests per second that the target accepts from all entry hosts
+    /// together; `None` if it names no limit.
     pub limit_per_s: Option<f64>,
-    /// Whether it leaves.
+    /// Whether the target is leaving.
     pub is_leaving: bool,
-    /// Milliseconds for which it wants nothing from whoever it answers;
-    /// `None` if it names no time.
+    /// Milliseconds for which the target wants no requests from this entry
+    /// host; `None` if it names no time.
     pub retry_after_ms: Option<u64>,
-    /// Whether what it says does not decode.
+    /// Whether the notice could not be decoded.
     pub is_malformed: bool,
 }
 
-/// What is new by an answer.
+/// A change that a notice made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeNews {
-    /// Something that it says does not decode.
+    /// A part of the notice could not be decoded.
     Malformed,
-    /// The target takes fewer requests than was known.
+    /// The target accepts fewer requests than before.
     Lower,
-    /// It takes more, or any number.
+    /// The target accepts more requests than before, or any number.
     Higher,
-    /// It leaves.
+    /// The target is leaving.
     Leaving,
-    /// It wants nothing from this entry host for some milliseconds.
+    /// The target wants no requests from this entry host for this many
+    /// milliseconds.
     Waits(u64),
 }
 
-/// What is known of the starts that said anything.
+/// The notices of all starts that have sent any.
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
     by_start: HashMap<StartId, Known>,
-    /// When requests were sent to each start.
+    /// The times of requests to each start.
     sent: HashMap<StartId, SentTimes>,
-    /// What is added to the process's clock for the time of day, in
+    /// The offset from the process's clock to the time of day, in
     /// milliseconds.
     time_of_day_ms: i64,
 }
 
-/// What one start says.
+/// The notices of one start.
 #[derive(Clone, Debug, Default)]
 struct Known {
     limit: Limit,
-    /// When it told this entry host last that it leaves.
+    /// When it last told this entry host that it is leaving.
     leaving_ms: Option<u64>,
-    /// Whether another entry host told that it leaves.
+    /// Whether another entry host reported that it is leaving.
     is_told_leaving: bool,
-    /// Until when it wants nothing from this entry host.
+    /// Until when it wants no requests from this entry host.
     waits_until_ms: u64,
-    /// Whether its last answer did not decode.
+    /// Whether the notice in its last answer could not be decoded.
     is_malformed: bool,
 }
 
-/// How long it is told that a start has no limit any more, in milliseconds:
-/// nobody takes longer to hear it.
+/// How long the end of a limit is sent to other entry hosts, in milliseconds.
+/// Each of them hears of it within that time.
 const ENDED_TOLD_MS: u64 = 10_000;
 
-/// How long it is remembered that a start leaves which is listed no longer, in
-/// milliseconds: its entry may lapse and be back with an outage of the store.
+/// How long it is remembered that a start is leaving after it is no longer
+/// listed, in milliseconds. Its entry may lapse and return with a store
+/// outage.
 const LEAVING_KEPT_MS: u64 = 600_000;
 
 impl Notices {
-    /// Nothing was said yet.
+    /// Creates an empty set of notices.
     pub fn new() -> Notices {
         Notices::default()
     }
 
-    /// Sets the time of day, in Unix milliseconds. One that was set back is
-    /// not waited for.
+    /// Sets the time of day in Unix milliseconds. If the clock was set back,
+    /// tokens are not delayed until it has caught up.
     pub fn set_time_of_day(&mut self, now_ms: u64, unix_ms: u64) {
         self.time_of_day_ms = unix_ms as i64 - now_ms as i64;
         let now_s = self.time_of_day_s(now_ms);
@@ -100,29 +102,30 @@
         }
     }
 
-    /// The limit that a start names, in requests a second.
+    /// Returns the limit of a start in requests per second; `None` if there is
+    /// none.
     pub fn limit_per_s(&self, start: StartId) -> Option<f64> {
         self.by_start.get(&start)?.limit.per_s
     }
 
-    /// Whether a start has told this entry host that it leaves.
+    /// Returns whether a start has told this entry host that it is leaving.
     pub fn is_leaving(&self, start: StartId) -> bool {
         let known = self.by_start.get(&start);
         known.is_some_and(|known| known.leaving_ms.is_some())
     }
 
-    /// Whether a start leaves by the word of another entry host.
+    /// Returns whether another entry host reported that a start is leaving.
     pub fn is_told_leaving(&self, start: StartId) -> bool {
         let known = self.by_start.get(&start);
         known.is_some_and(|known| known.is_told_leaving)
     }
 
-    /// Takes in what the answer to a request that was sent at `sent_ms` says;
-    /// returns what is new by it.
+    /// Handles the notice in the answer to a request that was sent at
+    /// `sent_ms`. Returns the changes.
     ///
-    /// An answer without a limit ends one only if its request was sent after
-    /// the limit was last named: heads overtake one another. A start that
-    /// leaves does so for good.
+    /// An answer without a limit ends a limit only if its request was sent
+    /// after the limit was last stated, since answers may overtake one
+    /// another. A start that is leaving never returns.
     pub fn note(
         &mut self,
         now_ms: u64,
@@ -155,8 +158,8 @@
         news
     }
 
-    /// Forgets starts that are listed no longer, a while after their last
-    /// word.
+    /// Removes the notices of starts that are no longer listed, some time
+    /// after their last statement.
     pub fn sweep(&mut self, now_ms: u64, is_listed: impl Fn(StartId) -> bool) {
         self.by_start.retain(|start, known| {
             let is_leaving = known
@@ -171,9 +174,9 @@
         self.sent.retain(|_, sent| sent.count(now_ms) > 0);
     }
 
-    /// Whether a start takes one more request of this entry host, whose part
-    /// of its limit is `part`. One that turned a request away may have room by
-    /// its reports and wants nothing yet.
+    /// Returns whether a start accepts one more request of this entry host,
+    /// whose part of the limit is `part`. A start that asked to wait may have
+    /// room according to its reports and still wants no request.
     pub fn admits(
         &self,
         now_ms: u64,
@@ -189,9 +192,9 @@
         known.limit.admits(now_ms, now_s, start, own, part)
     }
 
-    /// Milliseconds until a start takes requests of this entry host again: the
-    /// time that it named is over, and what all have sent to it is within its
-    /// limit. 0 if it takes them now.
+    /// Returns the milliseconds until a start accepts requests of this entry
+    /// host again: the wait that it asked for has passed, and the requests of
+    /// all entry hosts are within its limit. 0 if it accepts them now.
     pub fn blocked_ms(&self, now_ms: u64, start: StartId) -> u64 {
         let Some(known) = self.by_start.get(&start) else { return 0 };
         let waits_ms = known.waits_until_ms.saturating_sub(now_ms);
@@ -199,7 +202,7 @@
         waits_ms.max(known.limit.over_ms(now_ms, start, own))
     }
 
-    /// Counts a request out to a start.
+    /// Counts a request sent to a start.
     pub fn note_sent(
         &mut self,
         now_ms: u64,
@@ -213,7 +216,8 @@
         }
     }
 
-    /// Requests that this entry host has sent to a start of late.
+    /// Returns the number of requests that this entry host has recently sent
+    /// to a start.
     fn sent_lately(&self, now_ms: u64, start: StartId) -> u32 {
         self.sent.get(&start).map_or(0, |sent| sent.count(now_ms))
     }
@@ -224,7 +228,7 @@
 }
 
 impl Known {
-    /// Takes over that it wants nothing from this entry host for a while.
+    /// Records that it wants no requests from this entry host for `wait_ms`.
     fn wait(&mut self, now_ms: u64, wait_ms: u64) -> Option<NoticeNews> {
         let is_waiting = now_ms < self.waits_until_ms;
         let until_ms = now_ms.saturating_add(wait_ms);
