--- a/crates/raildale-core/src/gateway/notices/quota.rs
+++ b/crates/raildale-core/src/gateway/notices/quota.rs
@@ -1,40 +1,40 @@
-//! Which requests of a target's limit belong to this entry host.
+//! This entry host's part of the requests within a target's limit.
 //!
-//! A limit of N a second is N tokens a second over all entry hosts, each at a
-//! time of its own. A token belongs to one of them: a low-discrepancy sequence
-//! deals the tokens out in proportion to the parts that all work out alike.
-//! Nobody has to be asked, each gets its part however small it is, and all
-//! together hold no more at once than one entry host would. A time of day
-//! that differs somewhat shifts tokens and makes none.
+//! A limit of N requests per second is N tokens per second over all entry
+//! hosts, each token at its own time. A low-discrepancy sequence assigns the
+//! tokens to entry hosts in proportion to the parts that all of them compute
+//! alike. No coordination is needed, each host gets its part however small it
+//! is, and all together hold no more tokens at once than a single host would.
+//! A difference between the hosts' clocks shifts tokens and creates none.
 
 use crate::gateway::ends::StartId;
 
-/// How long a token may be used, in seconds: what can come at once is the
-/// limit of one second.
+/// How long a token may be used, in seconds. This limits a burst to the
+/// requests of one second.
 const KEPT_S: f64 = 1.0;
 
-/// Tokens of a limit that are looked at, at most.
+/// The maximum number of tokens that are searched for an own one.
 const LOOKED_AT_MOST: u64 = 1_024;
 
-/// The golden section of 2^64, whose multiples spread evenly over all
-/// numbers.
+/// 2^64 divided by the golden ratio, whose multiples modulo 2^64 are evenly
+/// spread.
 const GOLDEN: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The part of a limit that is this entry host's own: places from `before` on,
-/// of all places from 0 to 1.
+/// The part of a limit that this entry host owns, as an interval that begins
+/// at `before` within 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OwnPart {
-    /// The parts of the entry hosts before this one.
+    /// The sum of the parts of the entry hosts before this one.
     pub before: f64,
-    /// Its own.
+    /// The size of this entry host's part.
     pub width: f64,
 }
 
 impl OwnPart {
-    /// Everything.
+    /// The whole limit.
     pub const ALL: OwnPart = OwnPart { before: 0.0, width: 1.0 };
 
-    /// The same with only a share of its own.
+    /// Returns the part with its size multiplied by `share`.
     pub fn scaled(self, share: f64) -> OwnPart {
         OwnPart { width: self.width * share, ..self }
     }
@@ -47,20 +47,21 @@
 /// The limit of one start of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// The start.
+    /// The start to which the limit applies.
     pub start: StartId,
-    /// Requests a second of all entry hosts together.
+    /// Requests per second of all entry hosts together.
     pub per_s: f64,
-    /// The part that is this entry host's own.
+    /// The part that this entry host owns.
     pub part: OwnPart,
 }
 
 impl Quota {
-    /// The time of the oldest own token that may be used at `now_s` and is
-    /// younger than `after_s`, in seconds; `None` if there is none.
+    /// Returns the time, in seconds, of the oldest own token that is usable at
+    /// `now_s` and later than `after_s`; `None` if there is none.
     ///
-    /// It is told as the middle of the token's span: its beginning, rounded,
-    /// may lie before it, and the token would be found again.
+    /// The time is the middle of the token's interval: its beginning might be
+    /// rounded to a time before it, so that the same token would be found
+    /// again.
     pub fn token(&self, now_s: f64, after_s: f64) -> Option<f64> {
         let from_s = after_s.max(now_s - KEPT_S);
         let last = (now_s * self.per_s) as u64;
@@ -70,8 +71,8 @@
         Some((number as f64 + 0.5) / self.per_s)
     }
 
-    /// Requests of all entry hosts in a span at most: its tokens, and those
-    /// that were kept before it.
+    /// Returns the maximum number of requests of all entry hosts in a time
+    /// span: its tokens, and those kept from before it.
     pub fn most_in(&self, span_s: f64) -> f64 {
         self.per_s * (span_s + KEPT_S)
     }
