--- a/crates/raildale-core/src/gateway/notices/told.rs
+++ b/crates/raildale-core/src/gateway/notices/told.rs
@@ -1,21 +1,23 @@
-//! What entry hosts tell one another of what targets say, with each heartbeat.
+//! Exchange of notices between entry hosts, with each heartbeat.
 
 use std::{cmp::Reverse, net::IpAddr};
 
 use super::{ENDED_TOLD_MS, Known, NoticeNews, Notices};
 use crate::{fleet_message::ToldNotice, gateway::ends::StartId};
 
-/// How long it is told that a start leaves, in milliseconds: most are gone by
-/// then, and whoever it answers hears it anew.
+/// How long it is sent to other entry hosts that a start is leaving, in
+/// milliseconds. Most starts have ended by then, and an entry host that still
+/// gets an answer learns it from that.
 const LEAVING_TOLD_MS: u64 = 30_000;
 
-/// Starts in one heartbeat at most: 1.4 KB.
+/// The maximum number of starts in one heartbeat: 1.4 KB.
 const TOLD_MOST: usize = 64;
 
 impl Notices {
-    /// What others are to know, the latest first. A limit is told from
-    /// whomever it is known, so that it outlasts those who heard it; that a
-    /// start leaves, by those that it has told itself.
+    /// Returns the notices to send to other entry hosts, the latest first.
+    /// They include limits received from others, so that a limit outlasts the
+    /// hosts that heard it. That a start is leaving is sent only by the hosts
+    /// that it told.
     pub fn told(&self, now_ms: u64) -> Vec<ToldNotice> {
         let mut due: Vec<(&StartId, &Known)> =
             self.by_start.iter().filter(|(_, k)| is_due(now_ms, k)).collect();
@@ -32,11 +34,12 @@
         due.into_iter().take(TOLD_MOST).map(tell).collect()
     }
 
-    /// Takes in what the entry host at `from` tells; returns what is new by
-    /// it.
+    /// Merges a notice received from the entry host at `from`; returns the
+    /// changes.
     ///
-    /// What is known already does not become younger by being told: the way
-    /// here takes time, and two that tell each other would never let it age.
+    /// A limit that is known already is not made younger by a report: the
+    /// message takes time, and two hosts that reported to each other would
+    /// never let it age.
     pub fn take_told(
         &mut self,
         now_ms: u64,
@@ -66,7 +69,7 @@
     }
 }
 
-/// Whether others are to know what a start says.
+/// Returns whether other entry hosts are to be told of a start's notices.
 fn is_due(now_ms: u64, known: &Known) -> bool {
     let limit = &known.limit;
     let has_ended =
