--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows from how a request went at a target.
+//! Handling of the outcome of attempts at targets.
 
 use super::{
     admission::Gateway,
@@ -8,37 +8,39 @@
 };
 use crate::Code;
 
-/// What has not begun at an older version this long before its bound is
-/// withdrawn.
+/// A request that has not begun at a target with an older version is withdrawn
+/// this many milliseconds before that version's bound.
 const WITHDRAW_MARGIN_MS: u64 = 700;
 
-/// Silence after which a target whose agent is silent too, or says that it
-/// is down, is given up, in milliseconds.
+/// Silence, in milliseconds, after which the request is moved from a target
+/// whose agent is silent too or reports it down.
 const SUSPECT_AFTER_MS: u64 = 250;
 
-/// Silence within a stream after which its target is given up whatever its
-/// agent says, in milliseconds: callers leave after two seconds at least.
+/// Silence within a stream, in milliseconds, after which the stream is moved
+/// whatever the target's agent reports. Callers leave after two seconds at the
+/// earliest.
 const STREAM_PATIENCE_MS: u64 = 1_000;
 
-/// Goals that a repeatable request waits for a target without an agent.
+/// The number of latency goals for which a repeatable request waits for a
+/// target without an agent.
 const GOALS_OF_PATIENCE: u64 = 3;
 
-/// Why another target is asked for a request that one is silent about.
+/// Why a request is moved to another target while one is silent about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silence {
-    /// The list of targets does not name it.
+    /// The target is not listed.
     Unlisted,
-    /// Its agent is silent as well.
+    /// The target's agent is silent as well.
     Agent,
-    /// Its agent says that it is down.
+    /// The target's agent reports that the target is down.
     Down,
-    /// Nothing has come for longer than such a request waits.
+    /// The target has been silent for longer than such a request waits.
     TooLong,
 }
 
 impl Gateway {
-    /// Notes that a request has begun at a target, `took_ms` after it was
-    /// sent there.
+    /// Records that a request has begun at a target, `took_ms` after it was
+    /// sent.
     pub fn note_begun(
         &mut self,
         now_ms: u64,
@@ -50,14 +52,15 @@
             return;
         }
         self.targets.note_begun(target);
-        // One that goes on has to read what it has written as well.
+        // A resumed stream is left out: its target also has to read what was
+        // already generated.
         if request.tried.len() == 1 {
             let service = &request.service.name;
             self.room.note_first_event(now_ms, service, took_ms);
         }
     }
 
-    /// Takes in how an attempt ended. Says whether the request may be sent
+    /// Handles the end of an attempt. Returns whether the request may be sent
     /// again.
     pub fn ended(
         &mut self,
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Takes in what an attempt's end tells of whether the request ends the
-    /// targets that run it.
+    /// Updates the quarantine's record of the request with an attempt's
+    /// outcome.
     fn suspect(&mut self, now_ms: u64, request: &Admission, outcome: Outcome) {
         let Some(fingerprint) = request.fingerprint else { return };
         self.quarantine.note_over(fingerprint);
@@ -104,14 +107,14 @@
         }
     }
 
-    /// Takes in that a target answered a request whole and with success.
+    /// Records that a target answered a request completely and successfully.
     pub fn note_answered(&mut self, now_ms: u64, request: &Admission) {
         if let Some(fingerprint) = request.fingerprint {
             self.quarantine.note_answered(now_ms, fingerprint);
         }
     }
 
-    /// Takes back an attempt whose caller has left.
+    /// Records that an attempt was withdrawn because its caller has left.
     pub fn withdraw(
         &mut self,
         now_ms: u64,
@@ -124,8 +127,9 @@
         self.quarantine.note_over(fingerprint);
     }
 
-    /// Whether a request that has not begun at a target must be taken back:
-    /// the version there is about to be too old to start.
+    /// Returns whether a request that has not begun at a target must be
+    /// withdrawn because the version there is about to become too old to start
+    /// work.
     pub fn is_too_old(
         &self,
         now_ms: u64,
@@ -141,8 +145,8 @@
         serves.is_some_and(|version| version < least)
     }
 
-    /// Why another target is asked for a request that one has been silent
-    /// about for `silent_ms`; `None` if none is.
+    /// Returns why a request should be moved to another target after this one
+    /// has been silent about it for `silent_ms`; `None` if it should stay.
     pub fn silence(
         &self,
         now_ms: u64,
@@ -168,8 +172,8 @@
             return Some(Silence::Down);
         }
         let patience_ms = match (has_begun, report.is_some()) {
-            // A stream that has begun is not given up for nothing: what is
-            // on its way may only be delayed.
+            // A stream that has begun is moved only if another target has
+            // room: its events may only be delayed.
             (true, _) if silent_ms < STREAM_PATIENCE_MS => u64::MAX,
             (true, _) if self.has_room_elsewhere(now_ms, request) => 0,
             (true, _) => u64::MAX,
@@ -179,7 +183,7 @@
         (silent_ms >= patience_ms).then_some(Silence::TooLong)
     }
 
-    /// The final answer for a request that nobody answers any more.
+    /// Returns the final refusal of a request that is not sent again.
     pub fn give_up(&self, request: &Admission, code: Code) -> Refusal {
         if request.may_have_run {
             return refusal(Code::Unknown);
