--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -1,22 +1,26 @@
-//! Requests that end the targets that run them (queries of death) are kept
-//! from the targets that are left.
+//! Quarantine of requests that crash the targets that run them (queries of
+//! death).
 //!
-//! A target that ends takes along all that runs there, so each request that
-//! broke off lost that start; [`Suspect`] keeps which starts one fingerprint has
-//! lost. Three of them make a culprit, unless
+//! When a target ends, all requests that run there break off and count a loss
+//! of that start; [`Suspect`] holds the losses of one fingerprint. Three
+//! losses make a fingerprint a culprit, unless
 //!
-//! * it was answered by a target since: whoever is answered ends none;
-//! * they were lost while a large part of the service's targets ended, or all
-//!   at one moment: a power cut ends targets whatever they run. Four such
-//!   moments make one all the same;
-//! * a culprit that has lost more explains them: it was there as well.
+//! * a target has answered it since: a request that is answered crashes
+//!   nothing;
+//! * the losses coincide with the end of a large part of the service's
+//!   targets, or all fall on one moment: a power or network failure (a cut)
+//!   ends targets whatever they run. Losses at four such moments do make a
+//!   culprit;
+//! * they are explained by a culprit with more losses, which was at the same
+//!   starts.
 //!
-//! Losses are sets, merged by union until an answer clears them, so entry hosts
-//! take in what others tell in any order and from any number of them.
+//! Losses are sets that are merged by union until an answer clears them, so
+//! that entry hosts can merge each other's losses in any order and from any
+//! number of hosts.
 //!
-//! * [`suspect`]: what is known of one fingerprint.
-//! * [`told`]: what entry hosts tell one another.
-//! * [`record`]: what lasts in the platform's store.
+//! * [`suspect`]: the losses of one fingerprint.
+//! * [`gossip`]: exchange of suspects between entry hosts.
+//! * [`record`]: culprits in the platform's store.
 
 pub mod record;
 pub mod suspect;
@@ -28,95 +32,98 @@
 
 pub use self::{record::Record, suspect::Suspect};
 
-/// Losses that make a culprit: two may be chance, as a broken request goes on
-/// at another target at once, which may end by the same cause.
+/// The minimum number of losses of a culprit. Two may be chance: a broken
+/// request is sent to another target at once, which may end by the same cause.
 const CULPRIT_LOSSES: usize = 3;
 
-/// Separate moments at which a culprit has lost them.
+/// The minimum number of distinct moments of a culprit's losses.
 const CULPRIT_MOMENTS: usize = 2;
 
-/// Separate moments, cuts among them, that make a culprit whatever else ended
-/// at them: few requests run at each of four cuts and are never answered, while
-/// ten culprits before twenty targets end nearly all of them each time they
-/// are back.
+/// The number of distinct moments, cuts included, that makes a culprit
+/// whatever else ended at them. Few requests run at each of four cuts and are
+/// never answered, while ten culprits on twenty targets end nearly all of them
+/// each time they are back.
 const CUT_MOMENTS: usize = 4;
 
-/// Losses from which on one entry host has one try of a request on its way at
-/// most: the next one decides.
+/// The number of losses from which an entry host has at most one try of a
+/// request in flight, whose outcome decides.
 const GUARDED_LOSSES: usize = 2;
 
-/// Losses after which a culprit is sure, and not tried again soon. Of a
-/// culprit's targets two are lost more by trials; of sound requests that lost
-/// three by chance most are answered at the first.
+/// The number of losses from which a culprit is certain and is not tried again
+/// soon. Trials lose two more of a culprit's targets; most sound requests with
+/// three losses by chance are answered at the first trial.
 const SURE_LOSSES: usize = 5;
 
 /// The share of a service's targets that end within [`TOGETHER_MS`] of one
-/// another in a cut of power or of the network. Culprits cannot end so many
-/// again and again: a target takes seconds to come back.
+/// another in a cut. Culprits can't end as many again and again, because a
+/// target takes seconds to return.
 const CUT_SHARE: f64 = 0.3;
 
-/// Targets that end together in a cut at least.
+/// The minimum number of targets that end together in a cut.
 const CUT_LEAST: f64 = 3.0;
 
-/// Time after its last loss until a culprit that is not sure is tried again,
-/// in milliseconds: a target that ended is listed as another start by then.
+/// The time after the last loss from which a culprit that is not certain is
+/// tried again, in milliseconds. A target that ended is listed as another
+/// start by then.
 const TRIAL_PAUSE_MS: u64 = 3_000;
 
-/// Time after its last loss until a sure culprit is tried again, in
-/// milliseconds: its targets may run other software by then. One target is
-/// lost every quarter of an hour if they do not.
+/// The time after the last loss from which a certain culprit is tried again,
+/// in milliseconds. Its targets may run other software by then; if not, one
+/// target is lost every 15 minutes.
 const QUARANTINE_MS: u64 = 15 * 60 * 1_000;
 
-/// Targets that ended within this long of one another ended together, in
-/// milliseconds: agents look at them every 100 ms, and reports take a while.
+/// The maximum time between the ends of targets that ended together, in
+/// milliseconds. Agents check them every 100 ms, and reports take a while.
 const TOGETHER_MS: u64 = 200;
 
-/// How long a broken attempt waits for a sign that its target has ended, in
-/// milliseconds: without an agent the list of targets tells, three lost
-/// heartbeats and a start later.
+/// How long a broken attempt waits for evidence that its target has ended, in
+/// milliseconds. Without an agent, that evidence is the list of targets, after
+/// three missed heartbeats and a start.
 const SIGN_WITHIN_MS: u64 = 10_000;
 
-/// How long a broken try counts as being on its way, in milliseconds: a sign
-/// by an agent in another data centre is there by then.
+/// How long a broken attempt still counts as in flight, in milliseconds.
+/// Evidence from an agent in another data centre arrives within that time.
 const SETTLE_MS: u64 = 500;
 
-/// How long an end is remembered, in milliseconds: longer than any sign of it
-/// is late.
+/// How long an end is remembered, in milliseconds: longer than any evidence of
+/// it takes.
 const END_KEPT_MS: u64 = 60_000;
 
-/// How long a suspect is remembered after its last loss, in milliseconds: twice
-/// as long as a quarantine lasts, so that a trial finds what it was.
+/// How long a suspect is remembered after its last loss, in milliseconds:
+/// twice the duration of a quarantine, so that a trial finds its losses.
 const SUSPECT_KEPT_MS: u64 = 2 * QUARANTINE_MS;
 
-/// How long an answer that cleared a suspect is told, in milliseconds: many
-/// heartbeats, and digests after them.
+/// How long an answer that cleared a suspect is sent to other entry hosts, in
+/// milliseconds: many heartbeats, and digests after them.
 const CLEARED_KEPT_MS: u64 = 10_000;
 
-/// Suspects at most: about 200 KB.
+/// The maximum number of suspects, which take about 200 KB.
 const SUSPECTS_MOST: usize = 1_024;
 
-/// Broken attempts that wait for a sign at most, and ends that are remembered.
+/// The maximum number of broken attempts that wait for evidence, and of ends
+/// that are remembered.
 const KEPT_MOST: usize = 2_048;
 
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It may.
+    /// It may be sent.
     Free,
-    /// Once an earlier try of it is over: that one decides.
+    /// It must wait until an earlier try ends, whose outcome decides.
     Waits,
-    /// It may not; it is not worth coming back for so many milliseconds.
+    /// It must not be sent; trying again is pointless for this many
+    /// milliseconds.
     Kept(u64),
 }
 
-/// That a fingerprint became, or is no longer, a culprit.
+/// A change of a fingerprint's status as a culprit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct News {
-    /// Whose.
+    /// The fingerprint.
     pub fingerprint: Fingerprint,
-    /// Whether it is one now.
+    /// Whether it is a culprit now.
     pub is_culprit: bool,
-    /// Starts that it has lost.
+    /// The number of starts that it has lost.
     pub losses: usize,
 }
 
@@ -125,11 +132,11 @@
 struct End {
     start: StartId,
     at_ms: u64,
-    /// Targets of its service.
+    /// The number of targets of its service.
     of: u32,
 }
 
-/// An attempt that broke, and no sign yet that its target has ended.
+/// An attempt that broke off, without evidence yet that its target has ended.
 #[derive(Clone, Copy, Debug)]
 struct Broken {
     fingerprint: Fingerprint,
@@ -137,7 +144,7 @@
     at_ms: u64,
 }
 
-/// What one entry host knows of requests that end their targets.
+/// What an entry host knows of requests that crash their targets.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: BTreeMap<Fingerprint, Suspect>,
@@ -146,32 +153,33 @@
     ends: VecDeque<End>,
     in_flight: HashMap<Fingerprint, u32>,
     news: Vec<News>,
-    /// Whether others are to hear of a loss at once.
+    /// Whether a loss is to be sent to other entry hosts at once.
     is_urgent: bool,
-    /// The place of this entry host among those alive, and how many they are.
+    /// The index of this entry host among those that are alive, and their
+    /// number.
     place: (usize, usize),
 }
 
 impl Quarantine {
-    /// Nothing is known.
+    /// Creates an empty quarantine.
     pub fn new() -> Quarantine {
         Quarantine { place: (0, 1), ..Quarantine::default() }
     }
 
-    /// Notes the place of this entry host among `count` that are alive, in an
-    /// order on which all agree.
+    /// Sets the index of this entry host among the `count` that are alive, in
+    /// an order that is the same on all of them.
     pub fn set_place(&mut self, own: usize, count: usize) {
         self.place = (own, count.max(1));
     }
 
-    /// Whether this entry host is the one that tries a fingerprint again, and
-    /// writes it down.
+    /// Returns whether this entry host is the one that tries a fingerprint
+    /// again and writes its record.
     pub fn is_owner(&self, fingerprint: Fingerprint) -> bool {
         let (own, count) = self.place;
         fingerprint.request % count as u64 == own as u64
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn standing(&self, now_ms: u64, fingerprint: Fingerprint) -> Standing {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return Standing::Free;
@@ -198,7 +206,8 @@
         }
     }
 
-    /// Whether a try of it is on its way, or has just broken.
+    /// Returns whether a try of the fingerprint is in flight or has just
+    /// broken off.
     fn is_busy(&self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         let has_broken = self.broken.iter().any(|broken| {
             broken.fingerprint == fingerprint
@@ -207,12 +216,12 @@
         has_broken || self.in_flight.contains_key(&fingerprint)
     }
 
-    /// Notes that a try was sent to a target.
+    /// Records that a try was sent to a target.
     pub fn note_sent(&mut self, fingerprint: Fingerprint) {
         *self.in_flight.entry(fingerprint).or_default() += 1;
     }
 
-    /// Notes that a try is over, whatever became of it.
+    /// Records that a try has ended with any outcome.
     pub fn note_over(&mut self, fingerprint: Fingerprint) {
         let Some(count) = self.in_flight.get_mut(&fingerprint) else { return };
         *count -= 1;
@@ -221,7 +230,7 @@
         }
     }
 
-    /// Notes that a try broke at a start of a target.
+    /// Records that a try broke off at a start of a target.
     pub fn note_broken(
         &mut self,
         now_ms: u64,
@@ -237,8 +246,9 @@
         keep_young(&mut self.broken, now_ms, SIGN_WITHIN_MS, |b| b.at_ms);
     }
 
-    /// Notes a sign that a start has ended, one of `of` targets, which showed
-    /// at `at_ms`: it ended when the first attempt broke there, if one did.
+    /// Records evidence, observed at `at_ms`, that a start has ended, one of
+    /// `of` targets of its service. The start ended when the first attempt
+    /// broke off there, if one did.
     pub fn note_end(
         &mut self,
         now_ms: u64,
@@ -267,17 +277,17 @@
         self.settle();
     }
 
-    /// Notes that nobody listens at the address of a start, one of `of`
-    /// targets: it has ended if something broke there just before, and else
-    /// may not have begun.
+    /// Records that nothing listens at the address of a start, one of `of`
+    /// targets of its service. The start has ended if an attempt broke off
+    /// there shortly before; otherwise, it may not be up yet.
     pub fn note_nobody(&mut self, now_ms: u64, start: StartId, of: u32) {
         if self.broken.iter().any(|broken| broken.start == start) {
             self.note_end(now_ms, start, now_ms, of);
         }
     }
 
-    /// Notes that a target answered a request, whole and with success: it
-    /// lives, so that request ends none.
+    /// Records that a target answered a request completely and successfully.
+    /// The target is alive, so the request doesn't crash targets.
     pub fn note_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) {
         self.broken.retain(|broken| broken.fingerprint != fingerprint);
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
@@ -288,41 +298,44 @@
         }
     }
 
-    /// Lifts a quarantine: somebody took its record away.
+    /// Lifts a quarantine whose record was deleted.
     pub fn lift(&mut self, now_ms: u64, fingerprint: Fingerprint) {
         self.note_answered(now_ms, fingerprint);
     }
 
-    /// Who became a culprit, or is none any more, since this was last asked.
+    /// Returns the changes of culprits since the last call.
     pub fn take_news(&mut self) -> Vec<News> {
         std::mem::take(&mut self.news)
     }
 
-    /// Whether a loss that others are to hear of at once was seen here since
-    /// this was last asked: one request may be at each of them.
+    /// Returns whether a loss has been found since the last call that other
+    /// entry hosts should hear of at once: each of them may have a try of the
+    /// request.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.is_urgent)
     }
 
-    /// Whether a target has answered a fingerprint since it lost any.
+    /// Returns whether a target has answered a fingerprint since its last
+    /// loss.
     pub fn is_answered(&self, fingerprint: Fingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
         suspect
             .is_some_and(|s| s.cleared_ms().is_some() && s.losses().is_empty())
     }
 
-    /// The losses of whatever has lost most, for the metrics.
+    /// Returns the largest number of losses of any suspect, for the metrics.
     pub fn most_losses(&self) -> usize {
         let losses = self.suspects.values().map(|s| s.losses().len());
         losses.max().unwrap_or(0)
     }
 
-    /// Requests that are kept from targets now, for the metrics.
+    /// Returns the number of requests that are quarantined now, for the
+    /// metrics.
     pub fn culprit_count(&self) -> usize {
         self.culprits.len()
     }
 
-    /// Forgets what is old.
+    /// Removes suspects that are too old.
     pub fn sweep(&mut self, now_ms: u64) {
         self.suspects.retain(|_, suspect| !suspect.is_over(now_ms));
         self.settle();
@@ -337,7 +350,8 @@
         self.settle();
     }
 
-    /// Whether a start ended together with a large part of its service's.
+    /// Returns whether a start ended together with a large part of its
+    /// service's targets.
     fn is_cut(&self, end: End) -> bool {
         let is_near =
             |other: &&End| other.at_ms.abs_diff(end.at_ms) <= TOGETHER_MS;
@@ -345,8 +359,8 @@
         together >= (f64::from(end.of) * CUT_SHARE).max(CUT_LEAST)
     }
 
-    /// Takes in that what was lost just before a start ended was lost in a
-    /// cut, if that start makes it one.
+    /// Marks the losses at about the time of an end as lost in a cut, if that
+    /// end makes it one.
     fn note_cut(&mut self, end: End) {
         if !self.is_cut(end) {
             return;
@@ -356,7 +370,8 @@
         }
     }
 
-    /// The losses of a suspect that no culprit explains which has lost more.
+    /// Returns the losses of a suspect that are not explained by a culprit
+    /// with more losses.
     fn unexplained(
         &self,
         fingerprint: Fingerprint,
@@ -374,7 +389,7 @@
         losses.filter(|loss| !is_explained(loss)).copied().collect()
     }
 
-    /// Works out anew who is a culprit, and notes what is new.
+    /// Recomputes the set of culprits and records the changes.
     fn settle(&mut self) {
         let now: BTreeSet<Fingerprint> = self
             .suspects
@@ -394,7 +409,7 @@
         self.culprits = now;
     }
 
-    /// Drops suspects if there are too many.
+    /// Drops suspects beyond the maximum number.
     fn make_room(&mut self, now_ms: u64) {
         if self.suspects.len() > SUSPECTS_MOST {
             self.suspects.retain(|_, suspect| !suspect.is_over(now_ms));
@@ -404,8 +419,8 @@
         }
     }
 
-    /// Drops one: of the caller that has the most, the one with the fewest
-    /// losses, so that no caller pushes out another's.
+    /// Drops one suspect: of the caller with the most suspects, the one with
+    /// the fewest losses, so that no caller displaces another's suspects.
     fn drop_one(&mut self) {
         let mut counts: HashMap<u32, usize> = HashMap::new();
         for fingerprint in self.suspects.keys() {
@@ -424,7 +439,7 @@
     }
 }
 
-/// Whether losses make a culprit.
+/// Returns whether losses make a culprit.
 fn is_culprit(losses: &[suspect::Loss]) -> bool {
     let outside: Vec<suspect::Loss> =
         losses.iter().filter(|loss| !loss.is_cut).copied().collect();
@@ -433,7 +448,8 @@
     is_alone || suspect::moments(losses) >= CUT_MOMENTS
 }
 
-/// Drops what is older than `most_ms`, and the oldest of too many.
+/// Removes entries older than `max_age_ms`, and the oldest ones beyond the
+/// maximum number.
 fn keep_young<T>(
     kept: &mut VecDeque<T>,
     now_ms: u64,
