--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -1,5 +1,5 @@
-//! What lasts of a culprit in the platform's store, when every entry host
-//! starts anew.
+//! Records of culprits in the platform's store, which outlast a restart of all
+//! entry hosts.
 
 use super::{Quarantine, SURE_LOSSES, SUSPECT_KEPT_MS};
 use crate::{
@@ -7,28 +7,30 @@
     gateway::{ends::StartId, fingerprint::Fingerprint},
 };
 
-/// A culprit, as it is written down.
+/// A culprit as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Whose.
+    /// The culprit's fingerprint.
     pub fingerprint: Fingerprint,
     /// The starts that it has lost, and when, in Unix milliseconds.
     pub losses: Vec<(StartId, u64)>,
 }
 
-/// How much later than a stored one a loss has to be for the record to be
-/// written again, in milliseconds: copies that were lost together are not.
+/// How much later than a stored loss another has to be for the record to be
+/// written again, in milliseconds. Copies that were lost together are not.
 const LATER_MS: u64 = 60_000;
 
 impl Record {
-    /// When the last start was lost, in Unix milliseconds; 0 if none was.
+    /// Returns when the last start was lost, in Unix milliseconds; 0 if there
+    /// is no loss.
     pub fn last_unix_ms(&self) -> u64 {
         let times = self.losses.iter().map(|(_, at_unix_ms)| *at_unix_ms);
         times.max().unwrap_or(0)
     }
 
-    /// Whether it tells more than the stored one, if there is one: losses
-    /// until the culprit is sure, and later ones.
+    /// Returns whether it holds more than the stored record, if there is one:
+    /// more losses, up to the number that makes a culprit certain, or a later
+    /// one.
     pub fn adds_to(&self, stored: Option<&Record>) -> bool {
         let Some(stored) = stored else { return true };
         let is_later = self.last_unix_ms() > stored.last_unix_ms() + LATER_MS;
@@ -36,15 +38,15 @@
         stored.losses.len() < known || is_later
     }
 
-    /// Whether its losses are so long ago that nobody goes by it any more.
+    /// Returns whether its losses are too old to be used.
     pub fn is_over(&self, unix_ms: u64) -> bool {
         unix_ms > self.last_unix_ms() + SUSPECT_KEPT_MS
     }
 }
 
 impl Quarantine {
-    /// Culprits, to be written down. `unix_ms` is what the time of day shows
-    /// at `now_ms`.
+    /// Returns the records of all culprits. `unix_ms` is the time of day at
+    /// `now_ms`.
     pub fn records(&self, now_ms: u64, unix_ms: u64) -> Vec<Record> {
         let record = |fingerprint: &Fingerprint| {
             let suspect = self.suspects.get(fingerprint)?;
@@ -58,7 +60,7 @@
         self.culprits.iter().filter_map(record).collect()
     }
 
-    /// Takes in a record of the store.
+    /// Merges a record from the store.
     pub fn take_record(&mut self, now_ms: u64, unix_ms: u64, record: Record) {
         let losses = record.losses.into_iter().map(|(start, at_unix_ms)| {
             let age_ms = unix_ms.saturating_sub(at_unix_ms);
