--- a/crates/raildale-core/src/gateway/quarantine/suspect.rs
+++ b/crates/raildale-core/src/gateway/quarantine/suspect.rs
@@ -1,48 +1,48 @@
-//! What is known of one fingerprint: the starts that it has lost.
+//! The starts of targets that one fingerprint has lost.
 
 use super::{CLEARED_KEPT_MS, SUSPECT_KEPT_MS, TOGETHER_MS};
 use crate::gateway::ends::StartId;
 
-/// Losses that are kept of one fingerprint.
+/// The maximum number of losses that are kept of one fingerprint.
 const LOSSES_MOST: usize = 16;
 
 /// A start of a target that ended while a request was there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loss {
-    /// The start.
+    /// The start that ended.
     pub start: StartId,
     /// When it ended, on the process's clock.
     pub at_ms: u64,
-    /// Whether it ended in a cut, together with a large part of its
-    /// service's.
+    /// Whether it ended in a cut, together with a large part of its service's
+    /// targets.
     pub is_cut: bool,
 }
 
-/// One fingerprint's losses since a target last answered it.
+/// A fingerprint's losses since a target last answered it.
 #[derive(Clone, Debug, Default)]
 pub struct Suspect {
     losses: Vec<Loss>,
-    /// When a target answered it; what was lost before no longer counts.
+    /// When a target last answered it; earlier losses don't count.
     cleared_ms: Option<u64>,
 }
 
 impl Suspect {
-    /// Its losses, each start once.
+    /// Returns its losses, each start once.
     pub fn losses(&self) -> &[Loss] {
         &self.losses
     }
 
-    /// When a target last answered it.
+    /// Returns when a target last answered it; `None` if none did.
     pub fn cleared_ms(&self) -> Option<u64> {
         self.cleared_ms
     }
 
-    /// Whether it has lost a start.
+    /// Returns whether it has lost a start.
     pub fn has_lost(&self, start: StartId) -> bool {
         self.losses.iter().any(|loss| loss.start == start)
     }
 
-    /// Adds a loss; says whether it is news.
+    /// Adds a loss. Returns whether this changed anything.
     pub fn lose(&mut self, start: StartId, at_ms: u64, is_cut: bool) -> bool {
         let is_cleared = self.cleared_ms.is_some_and(|ms| at_ms <= ms);
         let known = self.losses.iter_mut().find(|loss| loss.start == start);
@@ -61,9 +61,9 @@
         true
     }
 
-    /// Drops the loss that came soonest after another one: copies lost at one
-    /// moment must not hide the moments after it. The first and the last
-    /// stay.
+    /// Drops the loss that came soonest after another one, so that copies lost
+    /// at one moment don't hide later moments. The first and the last are
+    /// kept.
     fn drop_nearest(&mut self) {
         self.losses.sort_by_key(|loss| loss.at_ms);
         let gaps = self.losses.windows(2).map(|l| l[1].at_ms - l[0].at_ms);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes in that what was lost at about `at_ms` was lost in a cut.
+    /// Marks the losses at about `at_ms` as lost in a cut.
     pub fn note_cut(&mut self, at_ms: u64) {
         let is_near =
             |loss: &&mut Loss| loss.at_ms.abs_diff(at_ms) <= TOGETHER_MS;
@@ -82,8 +82,8 @@
         near.for_each(|loss| loss.is_cut = true);
     }
 
-    /// Takes away what was lost until `at_ms`, now and when it is told later;
-    /// says whether anything was.
+    /// Clears all losses up to `at_ms`, including those that are reported
+    /// later. Returns whether any were removed.
     pub fn clear(&mut self, at_ms: u64) -> bool {
         self.cleared_ms = self.cleared_ms.max(Some(at_ms));
         let before = self.losses.len();
@@ -91,12 +91,12 @@
         self.losses.len() < before
     }
 
-    /// When it last lost a start; 0 if it never did.
+    /// Returns when it last lost a start; 0 if it never did.
     pub fn last_ms(&self) -> u64 {
         self.losses.iter().map(|loss| loss.at_ms).max().unwrap_or(0)
     }
 
-    /// Whether nothing of it need be remembered.
+    /// Returns whether the suspect can be forgotten.
     pub fn is_over(&self, now_ms: u64) -> bool {
         let told_ms = self.cleared_ms.map_or(0, |ms| ms + CLEARED_KEPT_MS);
         let lost_ms = self.last_ms() + SUSPECT_KEPT_MS;
@@ -105,9 +105,9 @@
     }
 }
 
-/// Separate moments of some losses. One that comes later after the first of a
-/// moment than what counts as together begins the next: a series without a
-/// pause is no single moment.
+/// Returns the number of distinct moments of some losses. A loss begins a new
+/// moment if it comes more than `TOGETHER_MS` after the first loss of the
+/// current one: a series without pauses is not a single moment.
 pub fn moments(losses: &[Loss]) -> usize {
     let mut times: Vec<u64> = losses.iter().map(|loss| loss.at_ms).collect();
     times.sort_unstable();
