--- a/crates/raildale-core/src/gateway/quarantine/told.rs
+++ b/crates/raildale-core/src/gateway/quarantine/told.rs
@@ -1,4 +1,4 @@
-//! What entry hosts tell one another of suspects, with each heartbeat.
+//! Exchange of suspects between entry hosts, with each heartbeat.
 
 use super::{CLEARED_KEPT_MS, Quarantine, Suspect};
 use crate::{
@@ -6,12 +6,14 @@
     gateway::{ends::StartId, fingerprint::Fingerprint},
 };
 
-/// Suspects in one heartbeat at most: 1.5 KB with three losses each.
+/// The maximum number of suspects in one heartbeat: 1.5 KB with three losses
+/// each.
 const TOLD_MOST: usize = 24;
 
 impl Quarantine {
-    /// What others are to know, the weightiest first: all that is known here,
-    /// from whomever, so that it outlasts those who saw it.
+    /// Returns the suspects to send to other entry hosts, those with the most
+    /// losses first. They include suspects received from others, so that the
+    /// information outlasts the hosts that observed the losses.
     pub fn told(&self, now_ms: u64) -> Vec<ToldSuspect> {
         let mut ranked: Vec<(Rank, &Fingerprint, &Suspect)> = self
             .suspects
@@ -26,7 +28,7 @@
             .collect()
     }
 
-    /// Takes in what another entry host tells.
+    /// Merges suspects received from another entry host.
     pub fn take_told(&mut self, now_ms: u64, told: Vec<ToldSuspect>) {
         let mut is_news = false;
         for suspect in told {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Merges what is told of one suspect; says whether any of it is news.
+    /// Merges one received suspect; returns whether anything was new.
     fn merge(&mut self, now_ms: u64, told: ToldSuspect) -> bool {
         let fingerprint =
             Fingerprint { caller: told.caller, request: told.request };
@@ -56,11 +58,12 @@
     }
 }
 
-/// How many losses a suspect has, and when it lost the last.
+/// The number of losses of a suspect, and the time of the last one.
 type Rank = (usize, u64);
 
-/// How much others need to know of a suspect; `None` if they need not: it has
-/// lost targets in cuts alone, and none has answered it just now.
+/// Returns the priority of sending a suspect to other entry hosts; `None` if
+/// it need not be sent because all its losses were in cuts and no answer
+/// cleared it recently.
 fn rank(now_ms: u64, suspect: &Suspect) -> Option<Rank> {
     let counted = suspect.losses().iter().filter(|loss| !loss.is_cut).count();
     let is_cleared =
