--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way through an entry host, and what becomes of it.
+//! A request on its way through an entry host, and the decisions about it.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 };
 use crate::{Code, Name};
 
-/// What a caller asks for, as read from its head.
+/// What a caller asks for, as read from the request's head.
 #[derive(Clone, Debug, Default)]
 pub struct RequestHead {
     /// The caller's id of this try.
@@ -20,94 +20,97 @@
     pub path: Name,
     /// The caller's key.
     pub key: Option<Name>,
-    /// Milliseconds that the caller waits.
+    /// The time for which the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The model asked for.
+    /// The requested model.
     pub model: Option<Name>,
-    /// The event after which a stream is to go on.
+    /// The id of the event after which a stream is to be resumed.
     pub resume_after: Option<Name>,
 }
 
-/// How a request waits.
+/// The queue in which a request waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Place {
-    /// It does not.
+    /// It doesn't wait.
     #[default]
     Nowhere,
-    /// Among those that can be in time.
+    /// The queue of requests that can still meet their goal.
     InTime,
-    /// Among those that cannot.
+    /// The queue of requests that can no longer meet their goal.
     Late,
 }
 
-/// When it is a waiting request's turn: the time that decides, and its number
-/// among those that have waited here.
+/// Sort key in a queue: the time that decides the order, and a sequence number
+/// among the requests that have been queued on this entry host.
 pub type Turn = (u64, u64);
 
-/// A request that was let in, with what is decided of it so far.
+/// An admitted request and the decisions made about it so far.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// What its tries have in common; `None` until its body is known whole.
+    /// The fingerprint that its tries have in common; `None` until the whole
+    /// body is known.
     pub fingerprint: Option<Fingerprint>,
-    /// Its route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// Who asks.
+    /// The organisation that sent it; `None` if the request has no known key.
     pub organisation: Option<Arc<Organisation>>,
-    /// The service it goes to.
+    /// The service to which it is sent.
     pub service: Arc<Service>,
-    /// The model asked for.
+    /// The requested model.
     pub model: Option<Name>,
-    /// When it came, on the process's clock.
+    /// When it arrived, on the process's clock.
     pub arrived_ms: u64,
-    /// When it must have its final answer, on the process's clock.
+    /// When its final answer is due, on the process's clock.
     pub due_ms: u64,
-    /// Whether it seems to have been refused before: its caller waits less
+    /// Whether it seems to be a try after a refusal: its caller waits for less
     /// than the route allows.
     pub is_back: bool,
-    /// When it was first sent to a target; until then, when it came.
+    /// When it was first sent to a target; until then, when it arrived.
     pub sent_ms: u64,
-    /// Where it is counted among those that wait here.
+    /// The queue in which it waits.
     pub place: Place,
-    /// Its last turn among them, if it ever waited.
+    /// Its last key in a queue; `None` if it has never waited.
     pub turn: Option<Turn>,
-    /// Targets that it was sent to, oldest first.
+    /// The ids of the targets to which it was sent, oldest first.
     pub tried: Vec<Name>,
-    /// The start of a target that it was sent to last.
+    /// The target start to which it was last sent.
     pub sent_to: Option<StartId>,
-    /// When the last event of its answer left, if it is a stream that broke
-    /// off and is to go on.
+    /// When the last event of its answer was sent on, if it is a stream that
+    /// broke off and is to be resumed.
     pub last_event_ms: Option<u64>,
-    /// Whether it has begun at the target that has it.
+    /// Whether it has begun at the target that has it now.
     pub has_begun: bool,
-    /// Whether some target may have run it.
+    /// Whether a target may have run it.
     pub may_have_run: bool,
 }
 
 impl Admission {
-    /// The same, of a request whose whole body is known.
+    /// Returns the request with its fingerprint, once the whole body is known.
     pub fn with_fingerprint(self, fingerprint: Fingerprint) -> Admission {
         Admission { fingerprint: Some(fingerprint), ..self }
     }
 
-    /// Its number among those that have waited here; the last one of all if
-    /// it has not.
+    /// Returns its sequence number among the requests that have been queued;
+    /// `u64::MAX` if it never was.
     pub fn number(&self) -> u64 {
         self.turn.map_or(u64::MAX, |(_, number)| number)
     }
 
-    /// Its turn among those that can be in time.
+    /// Returns its key in the queue of requests that can still meet their
+    /// goal.
     pub fn in_time_turn(&self, goal_at_ms: u64) -> Turn {
         (goal_at_ms, self.number())
     }
 
-    /// When an answer that has begun ends, whole or not, on the process's
-    /// clock: none of the entry host itself can follow it.
+    /// Returns when an answer that has begun must end, complete or not, on the
+    /// process's clock. This is later than `due_ms` because no answer of the
+    /// entry host itself can follow it.
     pub fn answer_due_ms(&self) -> u64 {
         self.due_ms + ANSWER_MARGIN_MS
     }
 
-    /// Whether another target may be asked after one answered with a failure
-    /// of its own.
+    /// Returns whether the request may be sent to another target after one has
+    /// answered with a server error.
     pub fn may_ask_another(&self) -> bool {
         let tries = self.tried.len() as u32;
         self.route.kind == RouteKind::Idempotent
@@ -115,74 +118,77 @@
     }
 }
 
-/// Where to send a request next.
+/// The target to which a request is sent next.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     /// The target's id.
     pub target: Name,
     /// Its address.
     pub address: std::net::SocketAddr,
-    /// The version that the target must have; `None` if any.
+    /// The version that the target must serve; `None` for any.
     pub version: Option<u64>,
-    /// How urgent it is there, 0 first.
+    /// The request's urgency at the target, 0 being the most urgent.
     pub urgency: u8,
 }
 
-/// Why a request is not sent to a target, for the log: a code also tells
-/// whether it ran.
+/// Why a request is not sent to a target, for the log. The code tells
+/// separately whether the request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
-    /// Its time is over.
+    /// Its deadline has passed.
     Deadline,
     /// It was sent to as many targets as its route allows.
     Attempts,
-    /// The retry budget holds no repeat.
+    /// The retry budget is used up.
     Budget,
     /// No target takes it.
     Targets,
-    /// Requests like it ended their targets.
+    /// Requests with its fingerprint crashed their targets.
     Quarantine,
-    /// The entry host does not take it, or its last attempt came to nothing.
+    /// The entry host doesn't take it, or its last attempt failed.
     Host,
 }
 
-/// A request that is not sent on (any more).
+/// A request that is not sent (again).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// What the caller is told, and whether it ran.
+    /// The code that the caller gets, which tells whether the request ran.
     pub code: Code,
-    /// What kept it from a target.
+    /// What prevented it from being sent to a target.
     pub obstacle: Obstacle,
-    /// When to come back, in milliseconds, if it has not run.
+    /// When the caller may try again, in milliseconds; `None` if the request
+    /// may have run or another try is pointless.
     pub retry_after_ms: Option<u64>,
 }
 
-/// What to do with a request that waits for a target.
+/// What to do with a request that needs a target.
 #[derive(Clone, Debug)]
 pub enum Next {
     /// Send it.
     Send(Dispatch),
-    /// Ask again after this many milliseconds.
+    /// Wait, and ask again after this many milliseconds.
     Wait(u64),
-    /// Give it up.
+    /// Refuse it.
     Refuse(Refusal),
 }
 
-/// Time that an answer of the entry host itself needs to reach the caller, in
-/// milliseconds.
+/// The time reserved for an answer of the entry host itself to reach the
+/// caller, in milliseconds.
 pub(super) const ANSWER_MARGIN_MS: u64 = 30;
 
-/// The shortest time after which a refused request comes back.
+/// The minimum time after which a refused request is to be tried again, in
+/// milliseconds.
 pub const RETRY_AFTER_LEAST_MS: u64 = 400;
 
 impl Refusal {
-    /// The same, for what kept the request from a target.
+    /// Returns the refusal with another obstacle.
     pub fn with_obstacle(self, obstacle: Obstacle) -> Refusal {
         Refusal { obstacle, ..self }
     }
 }
 
-/// A refusal under a code; one that proves "not run" says when to come back.
+/// Creates a refusal with a code. Codes sent with HTTP status 429 or 503 get a
+/// retry time.
 pub(super) fn refusal(code: Code) -> Refusal {
     let is_worth_it = matches!(code.http_status(), 429 | 503);
     Refusal {
