--- a/crates/raildale-core/src/gateway/routes.rs
+++ b/crates/raildale-core/src/gateway/routes.rs
@@ -1,25 +1,25 @@
-//! Routes, services and keys of one configuration.
+//! Routes, services and API keys of a configuration.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
 use crate::Name;
 
-/// One whole configuration, as the operator accepted it.
+/// A complete configuration that the operator has accepted.
 #[derive(Clone, Debug, Default)]
 pub struct Routing {
-    /// The operator's number of the configuration; only rises.
+    /// The version number of the configuration, which only increases.
     pub version: u64,
-    /// Routes by their HTTP host, longest prefix first.
+    /// Routes by HTTP host, each list with the longest prefix first.
     routes: HashMap<Name, Vec<Arc<Route>>>,
     /// Services by name.
     services: HashMap<Name, Arc<Service>>,
-    /// Organisations by key; `None` if requests need no key.
+    /// Organisations by API key; `None` if requests need no key.
     keys: Option<HashMap<Name, Arc<Organisation>>>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: Limits,
 }
 
-/// What may be done with a request of a route.
+/// Whether a request of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
@@ -30,37 +30,38 @@
     Streaming,
 }
 
-/// One route.
+/// A route from an HTTP host and path prefix to services.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The operator's name of the route.
     pub name: Name,
-    /// The HTTP host it answers for.
+    /// The HTTP host to which it applies.
     pub host: Name,
-    /// The path's beginning, with a slash at both ends.
+    /// The path prefix, with a slash at both ends.
     pub path_prefix: Name,
-    /// What may be done with its requests.
+    /// Whether its requests may run more than once.
     pub kind: RouteKind,
-    /// How long a request may be held, in milliseconds.
+    /// The maximum time for which a request may be held, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is in time, in milliseconds.
+    /// The latency goal for the first event or the answer, in milliseconds.
     pub goal_ms: u64,
-    /// The longest pause between events that is in time; 0 if there is none.
+    /// The goal for the longest pause between events, in milliseconds; 0 if
+    /// there is none.
     pub gap_goal_ms: u64,
-    /// Rank, 0 first.
+    /// The priority, 0 being the highest.
     pub priority: u8,
-    /// Services with their weights.
+    /// The services with their weights.
     pub backends: Vec<(Name, u32)>,
-    /// Targets that one request may be sent to.
+    /// The maximum number of targets to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests without a key are accepted.
     pub is_public: bool,
-    /// Whether a broken stream may go on at another target.
+    /// Whether a broken stream may be resumed at another target.
     pub is_resumable: bool,
 }
 
 impl Route {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be sent again.
     pub fn may_repeat(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -69,7 +70,8 @@
         }
     }
 
-    /// The service for a request, by a number drawn for it.
+    /// Returns the service for a request, chosen by weight with the random
+    /// number `draw`; `None` if there is none.
     pub fn service(&self, draw: u32) -> Option<&Name> {
         let total: u32 = self.backends.iter().map(|(_, weight)| weight).sum();
         let mut left = draw.checked_rem(total)?;
@@ -86,48 +88,50 @@
 /// One service.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
-    /// The operator's name for it.
+    /// The operator's name of the service.
     pub name: Name,
     /// The path of its targets' health checks; empty if there are none.
     pub health_path: Name,
-    /// Connections that a target accepts from all callers together.
+    /// The maximum number of connections that a target accepts from all
+    /// callers together.
     pub max_connections: u32,
-    /// Set if its targets run a model engine.
+    /// The engine's figures if its targets run a model engine.
     pub engine: Option<EngineSpec>,
-    /// Set if the service is an origin of weights.
+    /// The origin's address if the service is an origin of weights.
     pub origin: Option<SocketAddr>,
 }
 
 /// Published figures of a model engine and its weights.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// The number of requests that run at once.
     pub slots: u32,
     /// Names of the models that the service serves.
     pub models: Vec<Name>,
-    /// Chunks of a version.
+    /// The number of chunks of a version.
     pub chunk_count: u32,
-    /// Bytes of a chunk.
+    /// The size of a chunk in bytes.
     pub chunk_bytes: u32,
-    /// Layers of a model; 0 if weights are not spread.
+    /// The number of layers of a model; 0 if weights are not spread.
     pub layer_count: u32,
-    /// Milliseconds of one step of the batch.
+    /// The duration of one step of the batch, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each running request adds to a step.
+    /// The time that each running request adds to a step, in milliseconds.
     pub per_sequence_ms: f64,
-    /// Steps between two events of a stream.
+    /// The number of steps between two events of a stream.
     pub stride: u32,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens read per second.
     pub prefill_tokens_per_s: f64,
-    /// Mean tokens of an answer.
+    /// The mean number of tokens of an answer.
     pub usual_answer_tokens: f64,
 }
 
 impl EngineSpec {
-    /// Milliseconds of a usual answer at a full target, prompts of others
-    /// read in between included.
+    /// Returns the usual time to generate an answer at a full target in
+    /// milliseconds, with the time spent on other requests' prompts.
     pub fn usual_run_ms(&self) -> f64 {
-        /// What reading prompts adds to the steps of an answer.
+        /// The time spent on reading prompts, relative to the steps of an
+        /// answer.
         const READING_SHARE: f64 = 0.25;
         let step_ms =
             self.step_ms + self.per_sequence_ms * f64::from(self.slots);
@@ -135,30 +139,30 @@
     }
 }
 
-/// Who sends requests under a key.
+/// The organisation that sends requests with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
     /// Its name.
     pub name: Name,
-    /// Overrides the route's rank if set.
+    /// Overrides the route's priority if set.
     pub priority: Option<u8>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a head at most.
+    /// The maximum size of a head in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a body at most.
+    /// The maximum size of a body in bytes.
     pub max_body_bytes: usize,
-    /// Milliseconds that a head may take.
+    /// The maximum time in which a head must arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Milliseconds that a connection may rest.
+    /// The maximum time for which a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// Bounds for the time before a configuration is known.
+    /// Returns the limits in force until a configuration is known.
     fn default() -> Limits {
         Limits {
             max_header_bytes: 16 << 10,
@@ -169,17 +173,17 @@
     }
 }
 
-/// Why a request matches nothing.
+/// Why no route was found for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoRoute {
-    /// No route has its host and path.
+    /// No route matches its host and path.
     Unknown,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     Unauthorised,
 }
 
 impl Routing {
-    /// An empty configuration under the operator's number.
+    /// Creates an empty configuration with a version number.
     pub fn new(version: u64) -> Routing {
         Routing { version, ..Routing::default() }
     }
@@ -198,7 +202,7 @@
         self
     }
 
-    /// Adds an organisation with its keys; from then on keys are needed.
+    /// Adds an organisation with its keys; from then on, requests need a key.
     pub fn with_organisation(
         mut self,
         organisation: Organisation,
@@ -210,17 +214,18 @@
         self
     }
 
-    /// Sets what callers may send.
+    /// Sets the limits on callers' requests.
     pub fn with_limits(mut self, limits: Limits) -> Routing {
         self.limits = limits;
         self
     }
 
-    /// The route for a host and path, and who asks.
+    /// Returns the route for a host and path, and the organisation of the key.
     ///
     /// # Errors
     ///
-    /// [`NoRoute`] if there is no route or the key is not known.
+    /// [`NoRoute`] if no route matches, or if the key is missing or unknown
+    /// and the route is not public.
     pub fn find(
         &self,
         host: &str,
@@ -244,27 +249,28 @@
         Ok((route.clone(), organisation))
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// Every service.
+    /// Returns all services in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// Every route.
+    /// Returns all routes in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.values().flatten()
     }
 
-    /// Where the origin of weights listens.
+    /// Returns the address of the origin of weights, if there is one.
     pub fn origin(&self) -> Option<SocketAddr> {
         self.services().find_map(|service| service.origin)
     }
 
-    /// Connections that the origins of weights accept together.
+    /// Returns the number of connections that the origins of weights accept
+    /// together.
     pub fn origin_connections(&self) -> u32 {
         self.services()
             .filter(|service| service.origin.is_some())
@@ -272,7 +278,7 @@
             .sum()
     }
 
-    /// Whether each stream that a service answers may go on elsewhere.
+    /// Returns whether every request that a service answers may be sent again.
     pub fn is_resumable(&self, service: &str) -> bool {
         self.routes()
             .filter(|r| r.backends.iter().any(|(name, _)| &**name == service))
