--- a/crates/raildale-core/src/gateway/shares.rs
+++ b/crates/raildale-core/src/gateway/shares.rs
@@ -1,11 +1,10 @@
-//! Which part of a target's slots an entry host may count on.
+//! Divides the slots of targets among the entry hosts.
 //!
-//! Entry hosts hear of a target's load a tenth of a second late, and all of
-//! them hear the same: in an overload each would send to the slot that was
-//! free then. Each therefore owns a part of every target's slots that the
-//! others leave alone. All work the parts out alike, from what heartbeats
-//! tell: each gets slots in proportion to its demand, those of its own data
-//! centre first.
+//! Entry hosts hear of a target's load 0.1 s late, and all hear the same, so
+//! that in an overload all of them would send to the same free slot. Each
+//! therefore owns a part of every target's slots that the others leave alone.
+//! All compute the same parts from the demand in heartbeats: each host gets
+//! slots in proportion to its demand, first those in its own data centre.
 
 use super::{notices::quota::OwnPart, target::Rivals};
 use crate::Name;
@@ -13,27 +12,27 @@
 /// An entry host that sends to targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sender {
-    /// The data centre that it stands in.
+    /// The data centre of the entry host.
     pub data_centre: Name,
-    /// Requests that come to it in a second, as of late.
+    /// The recent rate of requests to the entry host, per second.
     pub demand: f64,
 }
 
-/// The demand that an entry host without any counts for: it may get some
-/// before the next heartbeat.
+/// The minimum demand that an entry host counts for: one without requests may
+/// get some before the next heartbeat.
 const LEAST_DEMAND: f64 = 0.5;
 
-/// The entry hosts, in an order on which all agree.
+/// The entry hosts, in the same order on all of them.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     senders: Vec<Sender>,
     own: usize,
-    /// Those in the data centre of this one, itself among them.
+    /// The number of entry hosts in this one's data centre, itself included.
     near_count: usize,
 }
 
 impl Shares {
-    /// Shares of `senders`, of which this one stands at place `own`.
+    /// Creates the shares of `senders`, of which this host has index `own`.
     pub fn new(senders: Vec<Sender>, own: usize) -> Shares {
         let near_count = senders.get(own).map_or(0, |own| {
             let is_near = |s: &&Sender| s.data_centre == own.data_centre;
@@ -42,13 +41,13 @@
         Shares { senders, own, near_count }
     }
 
-    /// How many entry hosts there are.
+    /// Returns the number of entry hosts.
     pub fn count(&self) -> usize {
         self.senders.len()
     }
 
-    /// The entry hosts that may send to the targets of a data centre: those
-    /// that stand there if this one does, else all.
+    /// Returns the entry hosts that compete for the targets of a data centre:
+    /// those in it if this host is there as well, else all.
     pub fn rivals(&self, data_centre: &str) -> Rivals {
         let own = self.senders.get(self.own);
         let is_near = own.is_some_and(|own| *own.data_centre == *data_centre);
@@ -56,8 +55,8 @@
         Rivals { count, own_place: self.own }
     }
 
-    /// The parts of every data centre's slots, given how many slots each
-    /// has.
+    /// Returns this entry host's part of the slots of each data centre.
+    /// `supplies` holds the number of slots in each.
     pub fn parts(&self, supplies: &[(Name, f64)]) -> Parts {
         let demand = |sender: &Sender| sender.demand.max(LEAST_DEMAND);
         let all_demand: f64 = self.senders.iter().map(demand).sum();
@@ -111,7 +110,8 @@
         }
     }
 
-    /// What each entry host needs beyond its own data centre.
+    /// Returns the slots that each entry host needs outside its own data
+    /// centre.
     fn lacking(&self, centres: &[CentreNeed], needs: &[f64]) -> Vec<f64> {
         let kept = |sender: &Sender| {
             let centre = centres.iter().find(|c| c.name == sender.data_centre);
@@ -125,31 +125,32 @@
     }
 }
 
-/// A data centre's slots, and what its own entry hosts need of them.
+/// A data centre's slots and its own entry hosts' need of them.
 #[derive(Debug)]
 struct CentreNeed {
     name: Name,
     slots: f64,
-    /// The part of their need that its own entry hosts get here.
+    /// The part of their need that its own entry hosts get here, from 0 to 1.
     kept: f64,
-    /// Slots that are left for others.
+    /// Slots that are left for entry hosts elsewhere.
     excess: f64,
 }
 
-/// The part of each data centre's slots that is this entry host's own.
+/// The part of each data centre's slots that this entry host owns.
 #[derive(Clone, Debug, Default)]
 pub struct Parts(Vec<Part>);
 
 #[derive(Clone, Debug)]
 struct Part {
     data_centre: Name,
-    /// The parts of the entry hosts before this one.
+    /// The sum of the parts of the entry hosts with a lower index.
     before: f64,
     own: f64,
 }
 
 impl Parts {
-    /// This entry host's part of what the targets of a data centre take.
+    /// Returns this entry host's part of what the targets of a data centre
+    /// take.
     pub fn own_part(&self, data_centre: &str) -> OwnPart {
         let part = self.0.iter().find(|p| *p.data_centre == *data_centre);
         part.map_or(OwnPart { before: 0.0, width: 0.0 }, |part| OwnPart {
@@ -158,11 +159,13 @@
         })
     }
 
-    /// This entry host's own slots of a target with `slots`, which stands at
-    /// `place` among all targets: parts of a slot are rounded up at some
-    /// targets and down at others, so that every slot has one owner.
+    /// Returns the number of slots that this entry host owns at a target with
+    /// `slots` slots, which has index `place` among the service's targets.
+    /// Fractions are rounded up at some targets and down at others, so that
+    /// every slot has one owner.
     pub fn of(&self, data_centre: &str, slots: u32, place: usize) -> u32 {
-        /// Spreads places evenly over what is rounded.
+        /// The fractional part of the golden ratio, whose multiples spread the
+        /// rounding offsets evenly.
         const GOLDEN: f64 = 0.618_033_988_749_895;
         let part = self.0.iter().find(|p| *p.data_centre == *data_centre);
         let Some(part) = part else { return 0 };
