--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -1,4 +1,4 @@
-//! What an entry host believes of one target.
+//! Load and health of one target, as known to an entry host.
 
 use std::net::SocketAddr;
 
@@ -9,188 +9,200 @@
 };
 use crate::{Name, catalog::Stamp};
 
-/// A target as the list of targets tells it.
+/// A target's entry in the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetSpec {
-    /// Its name, under which it may start again.
+    /// The target's name, under which it may start again.
     pub id: Name,
-    /// When it started, in Unix milliseconds, if it tells: tells one start
-    /// from another under the same name.
+    /// When it started, in Unix milliseconds, if known. It distinguishes
+    /// starts with the same name.
     pub born_ms: Option<u64>,
     /// The service that it belongs to.
     pub service: Name,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// The data centre that it stands in.
+    /// The data centre of the target.
     pub data_centre: Name,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it has said that it is leaving.
+    /// Whether it has announced that it is leaving.
     pub is_draining: bool,
-    /// The version whose weights it serves whole, if it tells of weights.
+    /// The version whose weights it serves completely; `None` if the entry
+    /// names none.
     pub serves_version: Option<u64>,
-    /// The last change of its entry in the store.
+    /// The last change of the entry in the store.
     pub stamp: Stamp,
 }
 
-/// What the agent beside a target tells of it.
+/// A report on a target by the agent beside it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetReport {
     /// Whether the target answers its agent.
     pub is_up: bool,
-    /// Whether new requests are welcome: false shortly before a swap of
+    /// Whether new requests are accepted: false shortly before a swap of
     /// weights.
     pub is_accepting: bool,
-    /// The version that it serves whole; 0 if none.
+    /// The version that it serves completely; 0 if none.
     pub serves_version: u64,
     /// The newest version of which the agent holds every chunk; 0 if none.
     pub whole_version: u64,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait in the target.
+    /// The number of requests that are queued in the target.
     pub queued: u32,
-    /// How slow the target is, 1 being its published pace.
+    /// The target's slowdown relative to its published speed: 1 is full speed,
+    /// more is slower.
     pub pace: f64,
-    /// Chunks that are missing before it can load the version wanted.
+    /// The number of chunks that are missing before it can load the wanted
+    /// version.
     pub missing_chunks: u32,
-    /// Milliseconds to its machine and back, the queues on the way included.
+    /// Round-trip time to its machine in milliseconds, including queues.
     pub round_trip_ms: u64,
-    /// Milliseconds until the next report, if nothing happens.
+    /// Milliseconds until the next regular report.
     pub every_ms: u32,
 }
 
-/// The entry hosts that may send to a target.
+/// The entry hosts that compete for a target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rivals {
-    /// How many they are, this one among them.
+    /// The number of entry hosts, this one included.
     pub count: usize,
-    /// The place of this one in their order.
+    /// The index of this entry host in their common order.
     pub own_place: usize,
 }
 
-/// How a request ended at a target.
+/// How an attempt ended at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer, whatever its status.
+    /// A complete answer with any status.
     Whole,
     /// Refused by the target without running.
     Refused,
-    /// Refused because another target, or another start of it, is there.
+    /// Refused because another target, or another start of the target, has the
+    /// address.
     Misdirected,
-    /// Nothing was sent: no connection.
+    /// Not sent: no connection.
     Unreachable,
-    /// Nothing was sent: nobody listens at the address.
+    /// Not sent: nothing listens at the address.
     NobodyThere,
-    /// The answer broke off, was garbled or never came.
+    /// The answer broke off, was malformed or never came.
     Broken,
-    /// The caller left, or the request was withdrawn here.
+    /// The caller left, or the entry host withdrew the request.
     Withdrawn,
 }
 
-/// One target with what is known of its load and health.
+/// A target with its known load and health.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What the list tells.
+    /// The target's entry in the list.
     pub spec: TargetSpec,
-    /// Which start of it that is.
+    /// The start that the entry describes.
     pub start: StartId,
-    /// Requests that this process has there.
+    /// The number of requests that this process has in flight there.
     pub in_flight: u32,
-    /// Those of them that have not begun: their prompts are read first.
+    /// The number of those that have not begun. Their prompts are read first.
     pub unbegun: u32,
-    /// Slots that the other entry hosts leave to this one.
+    /// The number of slots that this entry host owns there.
     pub own_slots: u32,
     report: Option<(u64, TargetReport, u32)>,
-    /// Whether the last report came from its agent, not by a digest.
+    /// Whether the last report came from the agent itself rather than a
+    /// digest.
     is_heard: bool,
-    /// Drawn with each report, from 0 to 1, alike by all that hear it: who may
-    /// use free slots.
+    /// Lottery number of the last report, from 0 to 1, equal on all entry
+    /// hosts that receive the report. It decides which of them may use the
+    /// free slots.
     lot: f64,
     failures: FailureRate,
     misdirected_ms: Option<u64>,
-    /// When nobody listened at its address, unless its agent told since that
-    /// it is up.
+    /// When nothing listened at its address, unless its agent has since
+    /// reported it up.
     nobody_ms: Option<u64>,
     is_agent_told_up: bool,
-    /// Since when as many chunks have been missing.
+    /// Since when the number of missing chunks has been the same.
     missing_since_ms: u64,
-    /// The longest way of late, and when it was measured.
+    /// The longest recent round-trip time and when it was measured.
     worst_way: (u64, u64),
-    /// Set while the list lost the target during an outage of the store.
+    /// Set while the entry is missing from the list because of a store outage.
     pub lapse: Option<Lapse>,
 }
 
-/// A report older than this says nothing about load any more.
+/// The age, in milliseconds, from which a report is not used as a measure of
+/// load.
 const REPORT_FRESH_MS: u64 = 1_500;
 
-/// An agent that was heard and then is silent for this long makes its target
-/// suspect: agents report several times a second.
+/// Silence of an agent, in milliseconds, that makes its target suspect. Agents
+/// report several times a second.
 const REPORT_SILENT_MS: u64 = 900;
 
-/// How long a target is left out after its address turned out to belong to
-/// another start: its entry lags behind by about that, in milliseconds.
+/// How long a target is excluded after its address turned out to belong to
+/// another start, in milliseconds. Its entry lags behind by about as much.
 const MISDIRECTED_MS: u64 = 1_500;
 
-/// How long a target is left out after nobody listened at its address, unless
-/// its agent tells sooner that it is up, in milliseconds: agents tell within
-/// 300 ms that it is down. Until they did, 12 to 36 requests went to each of
-/// some targets that had just ended, at the cost of an attempt each.
+/// How long a target is excluded after nothing listened at its address, in
+/// milliseconds, unless its agent reports it up sooner. Agents report within
+/// 300 ms that it is down. Without the exclusion, 12 to 36 requests went to
+/// each of some targets that had just ended, and cost an attempt each.
 const NOBODY_MS: u64 = 400;
 
-/// A report that is later than announced by this much is overdue, in
-/// milliseconds: datagrams are lost now and then, and wait in queues.
+/// How much later than announced a report must be to count as overdue, in
+/// milliseconds. Datagrams are lost at times, and wait in queues.
 const REPORT_LATE_MS: u64 = 150;
 
-/// The longest delay that is believed, in milliseconds: a target without an
-/// agent any more must not look ever farther away.
+/// The maximum delay that is assumed, in milliseconds: without it, a target
+/// whose agent has ended would seem ever more distant.
 const DELAY_MOST_MS: u64 = 3_000;
 
-/// Milliseconds that each request at a target adds to the next one's wait
-/// for its first event: its share of a step, and prompts read in between.
+/// The time that each request at a target adds to the next one's wait for its
+/// first event, in milliseconds: its share of a step, and the reading of
+/// prompts in between.
 const CROWDING_MS: f64 = 5.0;
 
-/// Milliseconds until a slot of a full target frees, per slot: the usual
-/// answer's time. Measured on the benches' engines: about 1.1 s.
+/// The usual time of an answer, in milliseconds, which divided by the number
+/// of slots is the time until a full target has a free one. About 1.1 s on the
+/// engines that it was measured on.
 const USUAL_RUN_MS: f64 = 1_100.0;
 
-/// A way to a target and back that takes longer is slow, in milliseconds:
-/// five times the longest between data centres leaves room for lost reports.
+/// The round-trip time from which the path to a target is slow, in
+/// milliseconds. Five times the longest between data centres allows for lost
+/// reports.
 const SLOW_WAY_MS: u64 = 250;
 
-/// How long a long way is remembered, in milliseconds: on a squeezed link the
-/// queue comes and goes with each chunk.
+/// How long the longest round-trip time is remembered, in milliseconds. On a
+/// congested link, the queue grows and drains with each chunk.
 const WORST_WAY_FOR_MS: u64 = 3_000;
 
-/// Milliseconds that a missing chunk takes, while all targets fill at once:
-/// 48 chunks come in about 3 s on the benches.
+/// The time that a missing chunk takes while all targets are filled at once,
+/// in milliseconds: 48 chunks take about 3 s.
 const CHUNK_MS: u64 = 65;
 
-/// A fill without a new chunk for this long is stalled, in milliseconds: on
-/// the benches' links a chunk comes every 42 ms, and on a squeezed one of 1.2
-/// Mbit/s every 330 ms.
+/// The time without a new chunk after which a fill is stalled, in
+/// milliseconds. A chunk takes 42 ms on a usual link, and 330 ms on one
+/// limited to 1.2 Mbit/s.
 const STALLED_MS: u64 = 1_000;
 
-/// Milliseconds from the last chunk until a target serves.
+/// The time from the last chunk until a target serves, in milliseconds.
 const LOAD_MS: u64 = 450;
 
-/// Requests beyond a target's slots that do not keep an entry host from its
-/// own slots there: what has just ended is still in the last report.
+/// The number of requests beyond a target's slots that doesn't keep an entry
+/// host from its own slots there: requests that have just ended are still in
+/// the last report.
 const OWN_SPARE: f64 = 1.0;
 
-/// The part of its own slots whose prompts an entry host has read at a target
-/// at once. With all 16 of a target that has come back, the last first event
-/// took 0.5 s.
+/// The part of its own slots for which an entry host may have prompts read at
+/// a target at the same time. With all 16 slots of a target that had returned,
+/// the last first event took 0.5 s.
 const READING_SHARE: f64 = 0.4;
 
-/// Spreads the lots of one report over the entry hosts, and of one after the
-/// other over each: the golden section.
+/// The fractional part of the golden ratio. Its multiples spread lottery
+/// numbers evenly over the entry hosts for one report, and over the reports
+/// for one host.
 const LOT_STEP: f64 = 0.618_033_988_749_895;
 
-/// What a certain failure counts for, in milliseconds of wait.
+/// The cost of a certain failure, as milliseconds of wait.
 const FAILURE_COST_MS: f64 = 2_500.0;
 
 impl Target {
-    /// A target that nothing is known of but its entry in the list.
+    /// Creates a target of which only the list entry is known.
     pub fn new(spec: TargetSpec) -> Target {
         Target {
             start: StartId::of(&spec),
@@ -211,8 +223,8 @@
         }
     }
 
-    /// Takes in what its agent tells. Says whether it tells that the target
-    /// no longer answers.
+    /// Handles a report from the agent. Returns whether the target has stopped
+    /// answering since the previous report.
     pub fn note_report(&mut self, now_ms: u64, report: TargetReport) -> bool {
         let was_up = self.report.as_ref().is_some_and(|(_, r, _)| r.is_up);
         if report.is_up {
@@ -232,9 +244,9 @@
         was_up && !report.is_up
     }
 
-    /// Takes in what a digest tells that its agent reported at `at_ms`; what
-    /// is known from later on stays. Says whether it tells that the target no
-    /// longer answers.
+    /// Handles an agent's report of `at_ms` that came in a digest; it is
+    /// ignored unless it is newer than the last one. Returns whether the
+    /// target has stopped answering since the previous report.
     pub fn note_told(&mut self, at_ms: u64, report: TargetReport) -> bool {
         let known = self.report.as_ref();
         if known.is_some_and(|(known_ms, ..)| *known_ms >= at_ms) {
@@ -245,7 +257,8 @@
         has_ended
     }
 
-    /// That its start has ended, as `sign` showed at `at_ms`, if it tells.
+    /// Returns the end of its start, for which `sign` is the evidence,
+    /// observed at `at_ms` if known.
     pub fn end(&self, at_ms: Option<u64>, sign: EndSign) -> TargetEnd {
         TargetEnd {
             at_ms,
@@ -257,8 +270,8 @@
         }
     }
 
-    /// The last report, if its agent gave it to this entry host itself and it
-    /// is fresh, and its age in milliseconds.
+    /// Returns the last report and its age in milliseconds, if it came from
+    /// the agent itself and is fresh.
     pub fn heard_report(&self, now_ms: u64) -> Option<(&TargetReport, u64)> {
         let (at_ms, report, _) = self.report.as_ref()?;
         let age_ms = now_ms.saturating_sub(*at_ms);
@@ -266,7 +279,7 @@
         is_fresh.then_some((report, age_ms))
     }
 
-    /// Takes in how a request ended.
+    /// Records the outcome of an attempt.
     pub fn note_outcome(&mut self, now_ms: u64, outcome: Outcome) {
         match outcome {
             Outcome::Whole => self.failures.add(now_ms, 0.0),
@@ -283,8 +296,7 @@
         }
     }
 
-    /// Whether its agent came up or went silent since this was last asked;
-    /// then which of the two.
+    /// Returns whether its agent is up, if that changed since the last call.
     pub fn agent_change(&mut self, now_ms: u64) -> Option<bool> {
         let is_up = self.report.is_some() && !self.is_silent(now_ms);
         let is_news = is_up != self.is_agent_told_up;
@@ -292,13 +304,14 @@
         is_news.then_some(is_up)
     }
 
-    /// The last report that is fresh enough to speak of load.
+    /// Returns the last report if it is fresh enough to be used as a measure
+    /// of load.
     pub fn report(&self, now_ms: u64) -> Option<&TargetReport> {
         let (at_ms, report, _) = self.report.as_ref()?;
         (now_ms.saturating_sub(*at_ms) < REPORT_FRESH_MS).then_some(report)
     }
 
-    /// Whether its agent was heard once and is silent now.
+    /// Returns whether its agent has reported before and is silent now.
     pub fn is_silent(&self, now_ms: u64) -> bool {
         self.report.as_ref().is_some_and(|(at_ms, report, _)| {
             let every_ms = u64::from(report.every_ms);
@@ -307,8 +320,8 @@
         })
     }
 
-    /// The version that it serves whole; `None` if it has no weights or the
-    /// service needs none.
+    /// Returns the version that it serves completely; `None` if it has no
+    /// weights or the service needs none.
     pub fn serves_version(&self, now_ms: u64) -> Option<u64> {
         match self.report(now_ms) {
             Some(report) => {
@@ -318,7 +331,7 @@
         }
     }
 
-    /// Whether new requests may go there at all.
+    /// Returns whether new requests may be sent there at all.
     pub fn is_open(&self, now_ms: u64) -> bool {
         let welcomes = self
             .report(now_ms)
@@ -333,12 +346,12 @@
         welcomes && !self.spec.is_draining && is_there
     }
 
-    /// Requests there, of everybody, as far as known.
+    /// Returns the estimated number of requests there, of all entry hosts.
     ///
-    /// What this process has sent since the last report counts for
-    /// `senders` of its kind: they believe the same and choose alike, so
-    /// that a target which looked idle would else be flooded by all of them
-    /// before its next report.
+    /// What this process has sent since the last report counts `senders`
+    /// times: other entry hosts have the same reports and make the same
+    /// choices, and would otherwise all flood a target that looked idle before
+    /// its next report.
     pub fn load(&self, now_ms: u64, senders: f64) -> f64 {
         let Some((at_ms, report, own_then)) = &self.report else {
             return f64::from(self.in_flight) * senders;
@@ -352,9 +365,9 @@
         (all + change * weight).max(f64::from(self.in_flight))
     }
 
-    /// Milliseconds until it will serve, as far as its agent's progress tells;
-    /// `None` if it serves already, or nothing is known: a fill that makes no
-    /// progress, as while the origin is away, may take any time.
+    /// Returns the estimated milliseconds until it will serve; `None` if it
+    /// serves already or nothing is known. A fill without progress, as during
+    /// an outage of the origin, may take any time.
     pub fn ready_in_ms(&self, now_ms: u64) -> Option<u64> {
         let report = self.report(now_ms)?;
         let is_stalled = report.missing_chunks > 0
@@ -368,33 +381,33 @@
         is_coming.then_some(missing * CHUNK_MS + LOAD_MS)
     }
 
-    /// Whether another prompt of this entry host may be read there: a target
-    /// reads one after the other, so that the last of many that come at once
-    /// is late however many slots are free.
+    /// Returns whether another prompt of this entry host may be read there. A
+    /// target reads one after the other, so that the last of many that arrive
+    /// at once is late however many slots are free.
     pub fn may_read_another(&self) -> bool {
         let most = f64::from(self.own_slots) * READING_SHARE;
         self.unbegun < (most as u32).max(1)
     }
 
-    /// Whether a request would begin there at once, or nearly, in a slot that
-    /// the other entry hosts leave to this one.
+    /// Returns whether a request would begin there (almost) at once in a slot
+    /// that this entry host owns.
     ///
-    /// In an overload in which all went by the reports alone, 19 of 20 late
-    /// streams had waited in a target.
+    /// When all entry hosts relied on reports alone in an overload, 19 of 20
+    /// late streams had waited in a target.
     pub fn has_own_room(&self, now_ms: u64) -> bool {
         let slots = f64::from(self.spec.slots);
         let has_own = self.in_flight < self.own_slots;
         has_own && self.load(now_ms, 1.0) < slots + OWN_SPARE
     }
 
-    /// Whether a request would begin there at once in any slot, if the entry
-    /// hosts that may take it as well leave `spare` slots over.
+    /// Returns whether a request would begin there at once in any slot, given
+    /// that the competing entry hosts leave `spare` slots unused.
     ///
-    /// All rivals hear the same of a target, so that each report gives its
-    /// free slots out by lot, about as many entry hosts winning as slots are
-    /// free. While each sent to what looked free, an overload of 45 targets
-    /// before 41 entry hosts had 34 in 100 in time at its end, 66 since (load
-    /// pattern).
+    /// All competitors have the same report on a target, so that each report
+    /// assigns its free slots by lottery to about as many entry hosts as slots
+    /// are free. When each host sent to any target that looked free, 34 in 100
+    /// requests were in time at the end of an overload of 45 targets and 41
+    /// entry hosts; with the lottery it is 66.
     pub fn has_lent_room(
         &self,
         now_ms: u64,
@@ -406,7 +419,7 @@
             return true;
         }
         if self.report(now_ms).is_none() {
-            // Its agent is silent: each rival keeps to its own slots.
+            // The agent is silent: each competitor keeps to its own slots.
             return false;
         }
         let slots = f64::from(self.spec.slots) + spare;
@@ -415,19 +428,19 @@
         free > lot * rivals.count as f64
     }
 
-    /// Whether the way to its machine is slow, or its agent is silent.
+    /// Returns whether the path to its machine is slow or its agent is silent.
     pub fn is_slow(&self, now_ms: u64) -> bool {
         self.worst_way_ms(now_ms) > SLOW_WAY_MS
     }
 
-    /// Whether the way to its machine is to be taken for slow: a report of
-    /// late came by a slow way, or is overdue by as much. One that is missing
-    /// for longer than any way takes tells of its agent, beside a sound
-    /// target.
+    /// Returns whether the path to its machine is presumed slow: a recent
+    /// report took a slow path or is overdue by as much. A report that is
+    /// missing for longer than any path takes is a sign of a failed agent
+    /// beside a healthy target.
     ///
-    /// Silence is no sign of a quick way: a link that is squeezed in the middle
-    /// of a fill may hold up reports and requests alike for seconds. No gain in
-    /// credit was measured for it.
+    /// Silence is no sign of a fast path: a link that is congested during a
+    /// fill may delay reports and requests alike for seconds. No benefit of
+    /// counting silence as slow was measured.
     pub fn was_way_slow(&self, now_ms: u64) -> bool {
         let (worst_ms, at_ms) = self.worst_way;
         let is_known =
@@ -436,7 +449,8 @@
         is_known || (SLOW_WAY_MS..DELAY_MOST_MS).contains(&overdue_ms)
     }
 
-    /// The longest way to its machine and back of late, in milliseconds.
+    /// Returns the longest recent round-trip time to its machine in
+    /// milliseconds.
     pub fn worst_way_ms(&self, now_ms: u64) -> u64 {
         let (worst_ms, at_ms) = self.worst_way;
         let is_over = now_ms >= at_ms + WORST_WAY_FOR_MS;
@@ -444,15 +458,15 @@
         worst_ms.max(self.round_trip_ms(now_ms))
     }
 
-    /// Milliseconds to its machine and back, as last measured. A report that
-    /// is overdue counts as being on its way.
+    /// Returns the last measured round-trip time to its machine in
+    /// milliseconds. An overdue report counts as being in transit.
     pub fn round_trip_ms(&self, now_ms: u64) -> u64 {
         let Some((_, report, _)) = &self.report else { return 0 };
         let overdue_ms = self.overdue_ms(now_ms);
         report.round_trip_ms.max(overdue_ms).min(DELAY_MOST_MS)
     }
 
-    /// By how much the next report is later than announced, in milliseconds.
+    /// Returns by how much the next report is overdue, in milliseconds.
     fn overdue_ms(&self, now_ms: u64) -> u64 {
         let Some((at_ms, report, _)) = &self.report else { return 0 };
         let age_ms = now_ms.saturating_sub(*at_ms);
@@ -460,8 +474,8 @@
         age_ms.saturating_sub(due_ms)
     }
 
-    /// Milliseconds that a request would lose there, with failures counted
-    /// as time.
+    /// Returns the time that a request is expected to lose there, in
+    /// milliseconds, with the failure rate converted to time.
     pub fn cost_ms(&self, now_ms: u64, senders: f64) -> f64 {
         let load = self.load(now_ms, senders);
         let slots = f64::from(self.spec.slots.max(1));
@@ -476,15 +490,15 @@
     }
 }
 
-/// A share of recent requests that failed, fading with time.
+/// The exponentially decaying share of requests that failed.
 #[derive(Clone, Copy, Debug)]
 struct FailureRate(Fading);
 
-/// Time after which what was seen counts half.
+/// Half-life of an outcome's weight, in milliseconds.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Good requests that a target is credited with, so that a single failure
-/// does not count as certain ones.
+/// The weight of the successes assumed in advance, so that a single failure
+/// doesn't count as certain failure.
 const PRIOR_GOOD: f64 = 3.0;
 
 impl FailureRate {
