--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -1,5 +1,5 @@
-//! Starts that have left the list: a store that is restored from an older copy
-//! lists them again, without their doing.
+//! Target starts that have left the list. A store that is restored from an
+//! older copy lists them again, although they are gone.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,34 @@
     catalog::Stamp, fleet_message::ToldDeparture, gateway::ends::StartId,
 };
 
-/// How long a departure is remembered, in milliseconds. The longest that a
-/// start serves on after it has left, with a margin; an entry of a restored
-/// copy without an owner has lapsed by then.
+/// How long a departure is remembered, in milliseconds: the longest time that
+/// a start goes on serving after it left, with a margin. By then, an entry of
+/// a restored copy that has no owner has lapsed.
 const KEPT_MS: u64 = 30_000;
 
-/// Departures that are remembered at most; the oldest go first.
+/// The maximum number of departures that are remembered; the oldest are
+/// dropped first.
 const MOST: usize = 4_096;
 
-/// Starts that have left the list of late.
+/// The starts that have recently left the list.
 #[derive(Clone, Debug, Default)]
 pub struct Departed {
     by_start: BTreeMap<StartId, Departure>,
 }
 
-/// That a start has left the list.
+/// A start's departure from the list.
 #[derive(Clone, Copy, Debug)]
 struct Departure {
-    /// A change of the store by which its entry was gone.
+    /// The change of the store by which the entry was gone.
     gone: Stamp,
-    /// When that was known here.
+    /// When the departure became known here, on the process's clock.
     at_ms: u64,
-    /// Its entry in a restored copy.
+    /// The stamp of the start's entry in a restored copy, if one was listed.
     copied: Option<Stamp>,
 }
 
 impl Departed {
-    /// Notes that a start has left, as the list tells at `gone`.
+    /// Records that a start has left the list by the change `gone`.
     pub fn note(&mut self, now_ms: u64, start: StartId, gone: Stamp) {
         let departure = Departure { gone, at_ms: now_ms, copied: None };
         self.insert(start, departure);
@@ -49,9 +50,9 @@
         }
     }
 
-    /// Takes in the entry under which a start is listed. Says whether it is a
-    /// copy from before it left; one that is written again has another stamp,
-    /// and the start is back.
+    /// Returns whether the listed entry of a start is a copy from before the
+    /// start left. An entry that is written again has another stamp: then the
+    /// start is back, and its departure is forgotten.
     pub fn note_listed(&mut self, start: StartId, entry: Stamp) -> bool {
         let Some(departure) = self.by_start.get_mut(&start) else {
             return false;
@@ -66,8 +67,8 @@
         is_copied
     }
 
-    /// Forgets what is old; returns starts whose entries were copies until
-    /// now.
+    /// Removes old departures. Returns the starts among them whose entries
+    /// were treated as copies until now.
     pub fn sweep(&mut self, now_ms: u64) -> Vec<StartId> {
         let is_old = |departure: &Departure| {
             now_ms.saturating_sub(departure.at_ms) > KEPT_MS
@@ -79,7 +80,8 @@
         starts
     }
 
-    /// All of it, for another entry host.
+    /// Returns all departures in the form in which they are sent to other
+    /// entry hosts.
     pub fn told(&self, now_ms: u64) -> Vec<ToldDeparture> {
         let told = |(start, departure): (&StartId, &Departure)| {
             let Stamp { era, revision } = departure.gone;
@@ -96,7 +98,7 @@
         self.by_start.iter().map(told).collect()
     }
 
-    /// Takes in what another entry host tells.
+    /// Merges departures received from another entry host.
     pub fn take_told(&mut self, now_ms: u64, told: Vec<ToldDeparture>) {
         for one in told {
             let start = StartId(one.start);
