--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -1,7 +1,7 @@
-//! Every target that is known, and which one a request goes to.
+//! The known targets and the choice among them.
 //!
 //! * [`departed`]: starts that have left the list.
-//! * `said`: what targets say of themselves, where one is chosen.
+//! * `notice_limits`: effects of targets' notices on the choice.
 
 pub mod departed;
 mod said;
@@ -21,7 +21,7 @@
 };
 use crate::{Name, catalog::Stamp};
 
-/// The targets of a fleet.
+/// The targets of a fleet, as one entry host knows them.
 #[derive(Debug, Default)]
 pub struct Targets {
     by_id: BTreeMap<Name, Target>,
@@ -29,121 +29,124 @@
     by_service: HashMap<Name, Vec<Name>>,
     senders: f64,
     shares: Shares,
-    /// Entry hosts that may be there and are not heard.
+    /// The number of entry hosts that may exist but are not heard.
     silent_senders: usize,
     /// Whether the other entry hosts are not known yet.
     is_fleet_unknown: bool,
-    /// This entry host's parts of each data centre's slots, by service.
+    /// This entry host's part of each data centre's slots, by service.
     parts: HashMap<Name, Parts>,
-    /// What targets say of themselves.
+    /// The notices of targets.
     pub notices: Notices,
     /// Starts that have left the list.
     pub departed: Departed,
-    /// When own slots were last worked out, by service.
+    /// When this entry host's own slots were last computed, by service.
     shared_ms: HashMap<Name, u64>,
-    /// Starts that have ended since this was last asked.
+    /// Starts that have ended since the last call of [`Targets::take_ends`].
     ended: Vec<TargetEnd>,
-    /// The last start at an address that the list no longer names: the next
-    /// one there shows that it has ended.
+    /// The last start at each address that is no longer listed. The next start
+    /// there shows that it has ended.
     left: HashMap<SocketAddr, TargetEnd>,
 }
 
-/// Addresses of which the last start is remembered, at most.
+/// The maximum number of addresses whose last start is remembered.
 const LEFT_MOST: usize = 4_096;
 
-/// What a target has to be for a request.
+/// The requirements of a request on its target.
 #[derive(Clone, Copy, Debug)]
 pub struct Need<'a> {
     /// The service that the request is for.
     pub service: &'a str,
-    /// Where the request is now.
+    /// The data centre where the request is now.
     pub data_centre: &'a str,
-    /// The versions of weights that bounds ask for, oldest first, each with
-    /// the milliseconds left until nothing older may start.
+    /// The versions that bound what may start, oldest first.
     pub bounds: &'a [VersionBound],
-    /// Whether the service's targets hold weights at all.
+    /// Whether the service's targets must hold weights.
     pub needs_weights: bool,
-    /// Whether it can no longer be in time: those that can go first.
+    /// Whether the request can no longer meet its goal: those that can go
+    /// first.
     pub is_late: bool,
-    /// Targets that had the request before.
+    /// The ids of the targets that had the request before.
     pub tried: &'a [Name],
 }
 
-/// A version and when nothing older may start any more.
+/// A version, and the time left until nothing older may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionBound {
     /// The version.
     pub version: u64,
-    /// Milliseconds until then; 0 once it is over.
+    /// Milliseconds until then; 0 once that time has passed.
     pub left_ms: u64,
 }
 
-/// Nothing is sent to an older version this long before its bound: on a
-/// squeezed link requests began up to 2.2 s after they were sent.
+/// How long before a version's bound nothing is sent to an older version any
+/// more, in milliseconds. On a congested link, requests began up to 2.2 s
+/// after they were sent.
 const SEND_MARGIN_MS: u64 = 2_500;
 
-/// From this long before a version's bound an older target gets requests by
-/// a quick way only, in milliseconds: on a squeezed link they took 1.8 s.
+/// How long before a version's bound a target with an older version gets
+/// requests over a fast path only, in milliseconds. On a congested link,
+/// requests took 1.8 s.
 const NEAR_BOUND_MS: u64 = 3_500;
 
-/// A way to a target and back that is quick, in milliseconds: twenty times
-/// the longest between data centres.
+/// The maximum round-trip time of a fast path to a target, in milliseconds:
+/// twenty times the longest between data centres.
 const QUICK_WAY_MS: u64 = 110;
 
-/// The share of a target's slots that stays with their owners: whoever owns
-/// none there sends only while more are free.
+/// The share of a target's slots that is reserved for their owners: an entry
+/// host without a slot of its own there sends only while more are free.
 const LENT_FREE_SHARE: f64 = 0.1;
 
-/// How long own slots stand before they are worked out anew, in
-/// milliseconds: a target that changes over is away for about a second.
+/// How long computed shares are used, in milliseconds. A target that swaps
+/// weights is away for about a second.
 const SHARES_FRESH_MS: u64 = 50;
 
 /// The share of a target's slots that late requests leave free for those that
-/// can still be in time.
+/// can still meet their goal.
 const KEPT_FREE_SHARE: f64 = 0.2;
 
-/// Entry hosts that look at the same target at most. With six entry hosts in
-/// three data centres it is three, and each looks at all targets.
+/// The maximum number of entry hosts that consider the same target. Six entry
+/// hosts in three data centres count as three, and each considers all targets.
 const ALIKE_MOST: f64 = 3.5;
 
-/// Candidates that a request looks at, at least: the better of two evens load
-/// out nearly as well as the best of all.
+/// The minimum number of candidates that are considered for a request: the
+/// better of two balances load nearly as well as the best of all.
 const LOOKED_AT_LEAST: usize = 2;
 
-/// What a plain service's request usually takes, in milliseconds.
+/// The usual time of a request to a service without an engine, in
+/// milliseconds.
 const PLAIN_RUN_MS: f64 = 50.0;
 
-/// What crossing to another data centre counts for, in milliseconds: the way
-/// there and back, and the price of its bytes.
+/// The cost of sending to another data centre, in milliseconds: the round
+/// trip, and the price of its bytes.
 const CROSSING_MS: f64 = 28.0;
 
 impl Targets {
-    /// No targets yet.
+    /// Creates an empty set.
     pub fn new() -> Targets {
         Targets::default()
     }
 
-    /// Notes how many entry hosts, this one among them, usually send to the
-    /// same targets, and what each may count on.
+    /// Sets the number of entry hosts, this one included, that usually send to
+    /// the same targets, and their shares.
     pub fn set_senders(&mut self, senders: f64, shares: Shares) {
         self.senders = senders;
         self.shares = shares;
         self.shared_ms.clear();
     }
 
-    /// Notes how many entry hosts may be there that are not heard: they may
-    /// still send.
+    /// Sets the number of entry hosts that may exist but are not heard: they
+    /// may still send.
     pub fn set_silent_senders(&mut self, count: usize) {
         self.silent_senders = count;
     }
 
-    /// Notes whether the list of entry hosts is known.
+    /// Sets whether the list of entry hosts is known.
     pub fn set_fleet_known(&mut self, is_known: bool) {
         self.is_fleet_unknown = !is_known;
     }
 
-    /// Works out anew which slots of a service's targets are this entry
-    /// host's own, if that was some time ago: targets come and go.
+    /// Recomputes which slots of a service's targets this entry host owns,
+    /// unless that was done recently: targets come and go.
     pub fn share_out(&mut self, now_ms: u64, service: &Service) {
         let last_ms = self.shared_ms.get(&service.name);
         if last_ms.is_some_and(|ms| now_ms < ms + SHARES_FRESH_MS) {
@@ -162,7 +165,7 @@
         self.parts.insert(service.name.clone(), parts);
     }
 
-    /// Slots of a service's open targets, by data centre.
+    /// Returns the slots of a service's open targets by data centre.
     fn supplies(&self, now_ms: u64, service: &Service) -> Vec<(Name, f64)> {
         let mut supplies: BTreeMap<Name, f64> = BTreeMap::new();
         for target in
@@ -175,8 +178,8 @@
         supplies.into_iter().collect()
     }
 
-    /// Takes over what the list tells; load and health stay unless the target
-    /// has started anew under its name.
+    /// Adds or updates a target from its list entry. Load and health are kept
+    /// unless the target has started again under its name.
     pub fn put(&mut self, spec: TargetSpec) {
         let id = spec.id.clone();
         if self.is_superseded(&spec) {
@@ -199,7 +202,7 @@
             self.remove(&before);
         }
         let left = self.left.remove(&spec.address);
-        // One that lapsed from the list may be back as it was.
+        // An entry that lapsed may return unchanged.
         let start = StartId::of(&spec);
         self.ended.extend(left.filter(|end| end.start != start));
         let ids = self.by_service.entry(spec.service.clone()).or_default();
@@ -207,9 +210,9 @@
         self.by_id.insert(id, Target::new(spec));
     }
 
-    /// Whether another start has the address of a target since. One that
+    /// Returns whether a later start has the target's address. A target that
     /// crashed stays listed for three of its heartbeats, and requests to it
-    /// would be refused by whoever listens there now.
+    /// would be refused by the process that listens there now.
     fn is_superseded(&self, spec: &TargetSpec) -> bool {
         self.by_address
             .get(&spec.address)
@@ -218,7 +221,8 @@
             .is_some_and(|known| known.spec.stamp > spec.stamp)
     }
 
-    /// Takes in that a target has left the list, as that tells at `gone`.
+    /// Records that a target has left the list by the change `gone`, and
+    /// removes it.
     pub fn depart(&mut self, now_ms: u64, id: &str, gone: Stamp) {
         if let Some(target) = self.by_id.get(id) {
             self.departed.note(now_ms, target.start, gone);
@@ -226,7 +230,7 @@
         self.remove(id);
     }
 
-    /// Forgets a target that has left.
+    /// Removes a target.
     pub fn remove(&mut self, id: &str) {
         let Some(target) = self.by_id.remove(id) else { return };
         if self.left.len() >= LEFT_MOST {
@@ -243,22 +247,22 @@
         }
     }
 
-    /// A target by its id.
+    /// Returns a target by its id.
     pub fn get(&self, id: &str) -> Option<&Target> {
         self.by_id.get(id)
     }
 
-    /// A target by its id, to change.
+    /// Returns a target by its id for modification.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Target> {
         self.by_id.get_mut(id)
     }
 
-    /// Every target.
+    /// Returns all targets, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Target> {
         self.by_id.values()
     }
 
-    /// Takes in what the agent beside the target at `address` tells. Says
+    /// Handles a report by the agent of the target at `address`. Returns
     /// whether such a target is known.
     pub fn note_report(
         &mut self,
@@ -274,8 +278,8 @@
         true
     }
 
-    /// Takes in what a digest tells of the target at `address`, which its
-    /// agent reported at `at_ms`.
+    /// Handles a report in a digest on the target at `address`, which its
+    /// agent made at `at_ms`.
     pub fn note_told(
         &mut self,
         at_ms: u64,
@@ -289,7 +293,7 @@
         }
     }
 
-    /// Starts that have ended since this was last asked.
+    /// Returns the starts that have ended since the last call.
     pub fn take_ends(&mut self) -> Vec<TargetEnd> {
         std::mem::take(&mut self.ended)
     }
@@ -299,8 +303,8 @@
         self.by_id.get_mut(id)
     }
 
-    /// Targets whose agent came up (true) or went silent since this was last
-    /// asked.
+    /// Returns the targets whose agent came up (true) or went silent (false)
+    /// since the last call.
     pub fn agent_changes(&mut self, now_ms: u64) -> Vec<(Name, bool)> {
         self.by_id
             .iter_mut()
@@ -310,7 +314,7 @@
             .collect()
     }
 
-    /// Counts a request out to a target.
+    /// Counts a request sent to a target.
     pub fn note_sent(&mut self, id: &str) {
         if let Some(target) = self.by_id.get_mut(id) {
             target.in_flight += 1;
@@ -318,14 +322,15 @@
         }
     }
 
-    /// Notes that a request that was sent to a target has begun there.
+    /// Records that a request has begun at a target.
     pub fn note_begun(&mut self, id: &str) {
         if let Some(target) = self.by_id.get_mut(id) {
             target.unbegun = target.unbegun.saturating_sub(1);
         }
     }
 
-    /// Counts a request back from a target, where it had begun or not.
+    /// Records the end of an attempt at a target; `has_begun` tells whether
+    /// the request had begun there.
     pub fn note_ended(
         &mut self,
         now_ms: u64,
@@ -342,24 +347,24 @@
         }
     }
 
-    /// Whether some target could take a request if it had room.
+    /// Returns whether some target could take a request if it had room.
     pub fn any_fits(&self, now_ms: u64, need: Need<'_>) -> bool {
         self.of(need.service).any(|target| self.fits(target, now_ms, need))
     }
 
-    /// Whether some target could take a request now.
+    /// Returns whether some target could take a request now.
     pub fn any_has_room(&self, now_ms: u64, need: Need<'_>) -> bool {
         self.candidates(now_ms, need).next().is_some()
     }
 
-    /// Milliseconds until the first target of a service that does not serve
-    /// now will; `None` if nothing is known.
+    /// Returns the milliseconds until the first target of a service that
+    /// doesn't serve now will; `None` if nothing is known.
     pub fn ready_in_ms(&self, now_ms: u64, service: &str) -> Option<u64> {
         self.of(service).filter_map(|t| t.ready_in_ms(now_ms)).min()
     }
 
-    /// Requests that the targets of a service finish in a second: those that
-    /// serve now, or all if none does.
+    /// Returns the number of requests that the targets of a service finish per
+    /// second: those that serve now, or all if none does.
     pub fn rate_per_s(&self, now_ms: u64, service: &Service) -> f64 {
         let serves = |target: &&Target| {
             let has_weights = service.engine.is_none()
@@ -374,7 +379,7 @@
         if open > 0.0 { open } else { targets().map(rate).sum() }
     }
 
-    /// Targets of a service, whatever their state.
+    /// Returns the number of targets of a service in any state.
     pub fn count(&self, service: &str) -> u32 {
         self.of(service).count() as u32
     }
@@ -384,12 +389,13 @@
         ids.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// The best target for a request.
+    /// Returns the best target for a request, if any can take it now.
     ///
-    /// Each candidate's cost is the wait expected there, plus failures and
-    /// the crossing counted as time. `draw` says at which of them this
-    /// request looks, and breaks ties: entry hosts believe much the same, and
-    /// where there are many, all would flood the target that looked idle.
+    /// Each candidate's cost is the expected wait there, with failures and the
+    /// crossing between data centres converted to time. `draw` selects the
+    /// candidates that are considered, and breaks ties: entry hosts know much
+    /// the same, and many of them would otherwise all flood the target that
+    /// looked idle.
     pub fn pick<'a>(
         &'a self,
         now_ms: u64,
@@ -406,12 +412,12 @@
             .map(|(target, _)| target)
     }
 
-    /// Targets that could take a request now.
+    /// Returns the targets that could take a request now.
     ///
-    /// One with a slow way is none while another fits, though that one be
-    /// full: on a squeezed link requests arrived 0.9 s after their callers
-    /// had left. One that leaves by the word of another entry host is none
-    /// either while another fits: its own answers, and nobody else, close it.
+    /// A target with a slow path is left out while another fits, even a full
+    /// one: on a congested link, requests arrived 0.9 s after their callers
+    /// had left. A target that is leaving according to another entry host is
+    /// left out as well while another fits; only its own answers close it.
     fn candidates<'a>(
         &'a self,
         now_ms: u64,
@@ -442,8 +448,8 @@
             && !need.tried.contains(&target.spec.id)
     }
 
-    /// A part of the candidates, from a drawn place on: so many that about
-    /// [`ALIKE_MOST`] entry hosts look at each.
+    /// Returns a sample of the candidates, starting at a random one and large
+    /// enough for about [`MAX_HOSTS_PER_TARGET`] entry hosts to consider each.
     fn looked_at<'a>(
         &self,
         candidates: &[&'a Target],
@@ -458,13 +464,14 @@
             .map(|place| candidates[place])
     }
 
-    /// Entry hosts that choose among the same targets as this one.
+    /// Returns the number of entry hosts that compete for the same targets.
     fn alike(&self) -> f64 {
         self.senders.clamp(1.0, ALIKE_MOST)
     }
 
-    /// A target whose version is about to be too old gets nothing that would
-    /// wait there: if it froze, what waits would start too late.
+    /// Returns whether a target has room for a request. A target whose version
+    /// is about to become too old gets nothing that would wait there: if the
+    /// target froze, the request would start too late.
     fn has_room(&self, target: &Target, now_ms: u64, need: Need<'_>) -> bool {
         let serves = target.serves_version(now_ms).unwrap_or(0);
         let newest = need.bounds.iter().map(|bound| bound.version).max();
@@ -473,8 +480,8 @@
         if reads_prompts && !target.may_read_another() {
             return false;
         }
-        // A limit is of all entry hosts together, and a time to come back is
-        // named, whatever slots are free.
+        // A limit applies to all entry hosts together, and a retry time holds
+        // whatever slots are free.
         if !self.is_admitted(now_ms, target) {
             return false;
         }
@@ -499,16 +506,16 @@
     }
 }
 
-/// What a request of a service usually takes at a full target, in
+/// Returns the usual time of a service's request at a full target, in
 /// milliseconds.
 fn run_ms(service: &Service) -> f64 {
     let engine = service.engine.as_ref();
     engine.map_or(PLAIN_RUN_MS, EngineSpec::usual_run_ms).max(1.0)
 }
 
-/// Whether what is sent there now will start on a version that may still
-/// start then. While a bound is pending, an older target gets nothing by a
-/// slow way: what is on that way can no longer be taken back.
+/// Returns whether a request that is sent now will start on a version that may
+/// still start work then. While a bound is pending, an older target gets
+/// nothing over a slow path, since a request in transit can't be withdrawn.
 fn is_new_enough(
     target: &Target,
     now_ms: u64,
