--- a/crates/raildale-core/src/gateway/targets/said.rs
+++ b/crates/raildale-core/src/gateway/targets/said.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves, where one is chosen.
+//! Effects of targets' notices on the choice among them.
 
 use std::collections::HashMap;
 
@@ -12,23 +12,25 @@
 };
 
 impl Targets {
-    /// Counts a request out to a target against the limit that it names.
+    /// Counts a request sent to a target against the limit that the target
+    /// names.
     pub fn use_token(&mut self, now_ms: u64, id: &str) {
         let Some(target) = self.by_id.get(id) else { return };
         let part = own_part(&self.parts, self.heard_share(), target);
         self.notices.note_sent(now_ms, target.start, part);
     }
 
-    /// Whether a target takes one more request of this entry host, by what it
-    /// says of itself.
+    /// Returns whether a target's notices allow one more request of this entry
+    /// host.
     pub(super) fn is_admitted(&self, now_ms: u64, target: &Target) -> bool {
         let part = own_part(&self.parts, self.heard_share(), target);
         self.notices.admits(now_ms, target.start, part)
     }
 
-    /// The share of the entry hosts that are heard: what the others may send
-    /// is left to them. One that knows nobody yet would take all that there
-    /// is, as would each that has just started.
+    /// Returns the share of the entry hosts that are heard; the silent ones
+    /// keep their part of a limit. A host that knows no others yet uses
+    /// nothing: otherwise each host that had just started would use the whole
+    /// limit.
     fn heard_share(&self) -> f64 {
         if self.is_fleet_unknown {
             return 0.0;
@@ -37,7 +39,7 @@
         heard / (heard + self.silent_senders as f64)
     }
 
-    /// Forgets what starts said that are listed no longer.
+    /// Removes the notices of starts that are no longer listed.
     pub fn sweep_notices(&mut self, now_ms: u64) {
         let by_id = &self.by_id;
         let is_listed =
@@ -45,7 +47,8 @@
         self.notices.sweep(now_ms, is_listed);
     }
 
-    /// Slots of a target that its limit lets be filled.
+    /// Returns the number of a target's slots that can be filled within its
+    /// limit.
     pub(super) fn slots_within_limit(
         &self,
         target: &Target,
@@ -56,15 +59,16 @@
         limit.map_or(slots, |per_s| slots.min(per_s * run_ms(service) / 1e3))
     }
 
-    /// Whether new requests may go to a target at all.
+    /// Returns whether new requests may be sent to a target at all.
     ///
-    /// One that has said in an answer that it leaves is bound by that, whatever
-    /// the list says: the store may be cut off from it for as long as it stays.
+    /// A target that announced in an answer that it is leaving stays closed
+    /// whatever the list says: the store may be cut off from the target until
+    /// it has left.
     pub(super) fn is_open(&self, target: &Target, now_ms: u64) -> bool {
         target.is_open(now_ms) && !self.notices.is_leaving(target.start)
     }
 
-    /// Whether every target of a service that is known leaves.
+    /// Returns whether a service has targets and all of them are leaving.
     pub fn all_leave(&self, service: &str) -> bool {
         let leaves = |target: &Target| {
             target.spec.is_draining || self.notices.is_leaving(target.start)
@@ -72,8 +76,9 @@
         self.of(service).all(leaves) && self.of(service).next().is_some()
     }
 
-    /// Milliseconds until a target that could take a request, if it had room,
-    /// takes any by what it says of itself; 0 if one does now, or none could.
+    /// Returns the milliseconds until the notices of a target that fits a
+    /// request allow one, whether it has room or not; 0 if one does now or
+    /// none fits.
     pub fn blocked_ms(&self, now_ms: u64, need: Need<'_>) -> u64 {
         let fitting =
             self.of(need.service).filter(|t| self.fits(t, now_ms, need));
@@ -89,7 +94,7 @@
     }
 }
 
-/// The part of a target's limit that is this entry host's own.
+/// Returns this entry host's part of a target's limit.
 fn own_part<'a>(
     parts: &'a HashMap<Name, Parts>,
     heard_share: f64,
