--- a/crates/raildale-core/src/gateway/versions.rs
+++ b/crates/raildale-core/src/gateway/versions.rs
@@ -1,32 +1,32 @@
-//! Which versions of a model's weights are named, and what that bounds.
+//! Named versions of models' weights and the bounds that they set.
 
 use super::{admission::Gateway, targets::VersionBound};
 use crate::Name;
 
-/// A version of a model's weights and when this process heard of it.
+/// A version of a model's weights and the time of its naming.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NamedVersion {
     /// Its number.
     pub version: u64,
-    /// When it was named at the earliest, as far as known, on this process's
-    /// clock.
+    /// The earliest time at which it may have been named, as far as known, on
+    /// this process's clock.
     pub named_ms: u64,
 }
 
-/// What a word of a version changed.
+/// The change that a report of a named version made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionNews {
     /// The version was not known.
     New,
-    /// It was named this many milliseconds before what was believed.
+    /// The time of its naming was moved back by this many milliseconds.
     Earlier(u64),
-    /// Nothing.
+    /// Nothing changed.
     Known,
 }
 
 impl Gateway {
-    /// Notes that a version of a model was named. The bound runs from the
-    /// naming, so the earliest time told counts.
+    /// Records that a version of a model was named. The bound runs from the
+    /// naming, so the earliest reported time counts.
     pub fn note_version(
         &mut self,
         model: Name,
@@ -50,33 +50,34 @@
         }
     }
 
-    /// Whether a version of a model is known to have been named.
+    /// Returns whether a version of a model is known to have been named.
     pub fn knows_version(&self, model: &str, version: u64) -> bool {
         let known = self.versions.get(model);
         known.is_some_and(|all| all.iter().any(|v| v.version == version))
     }
 
-    /// Notes when the store told some entry host which versions are named,
-    /// after what that one knew of them then has been noted.
+    /// Records when the store reported the named versions to an entry host.
+    /// Call this after recording the versions that were known there.
     pub fn note_versions_heard(&mut self, heard_ms: u64) {
         self.versions_heard_ms = self.versions_heard_ms.max(Some(heard_ms));
     }
 
-    /// When the store last told some entry host which versions are named;
-    /// `None` if nothing is known.
+    /// Returns when the store last reported the named versions to any entry
+    /// host; `None` if nothing is known.
     pub fn versions_heard_ms(&self) -> Option<u64> {
         self.versions_heard_ms
     }
 
-    /// When a version that is found now, and was not known, was named at the
-    /// earliest: the store may have been silent since it was last heard. One
-    /// that knows nothing yet counts from now on, until others tell better.
+    /// Returns the earliest time at which a version that is new here may have
+    /// been named: the store may have been unreachable since its last report.
+    /// Without a report, that is `now_ms` until a peer reports an earlier
+    /// time.
     pub fn earliest_naming_ms(&self, now_ms: u64) -> u64 {
         self.versions_heard_ms.unwrap_or(now_ms)
     }
 
-    /// The versions that bound what may start, now or later: of each model
-    /// the newest whose bound is over, and all after it.
+    /// Returns the versions that bound what may start now or later: of each
+    /// model, the newest whose bound has passed, and all newer ones.
     pub fn bounding_versions(&self, now_ms: u64) -> Vec<(Name, NamedVersion)> {
         let mut bounding = Vec::new();
         for (model, named) in &self.versions {
@@ -87,12 +88,12 @@
         bounding
     }
 
-    /// Models with the versions named, oldest first.
+    /// Returns the models with their named versions, oldest first.
     pub fn versions(&self) -> impl Iterator<Item = (&Name, &[NamedVersion])> {
         self.versions.iter().map(|(model, named)| (model, named.as_slice()))
     }
 
-    /// The versions of a model, with the time left until nothing older may
+    /// Returns the versions of a model with the time until nothing older may
     /// start.
     pub(super) fn version_bounds(
         &self,
@@ -114,8 +115,8 @@
             .collect()
     }
 
-    /// The lowest version of a model that may still start work `ahead_ms`
-    /// from now.
+    /// Returns the lowest version of a model that may still start work
+    /// `ahead_ms` from now; 0 if there is no bound.
     pub fn least_version(
         &self,
         now_ms: u64,
