--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -1,10 +1,11 @@
-//! Requests that wait at an entry host for a target, and how long they may.
+//! Queues of requests that wait at an entry host for a target, and limits on
+//! how long they wait.
 //!
-//! In an overload, first come first served makes everybody late. Whoever can
-//! still be in time goes first, and waits only as long as that holds. Whoever
-//! cannot, a try that is back among them, takes what slots are left over,
-//! and waits only if others like it are being served fast enough. Everybody
-//! else is refused at once.
+//! In an overload, serving requests in order of arrival makes all of them
+//! late. Requests that can still meet their goal go first, and wait only as
+//! long as they can meet it. Those that can't, among them callers' later
+//! tries, take the slots that are left, and wait only if the late queue drains
+//! fast enough. All others are refused at once.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -15,80 +16,82 @@
 };
 use crate::Name;
 
-/// Who waits here, by service.
+/// The requests that wait on this entry host, by service.
 #[derive(Debug, Default)]
 pub struct WaitingRoom {
     queues: HashMap<Name, Queue>,
-    /// Requests that have waited here so far.
+    /// The number of requests that have been queued so far.
     entered: u64,
 }
 
-/// Requests for one service.
+/// The queues of one service.
 #[derive(Debug)]
 struct Queue {
-    /// By the time when they have to be sent.
+    /// Requests that can meet their goal, by the time by which their first
+    /// event is due.
     in_time: BTreeSet<Turn>,
-    /// By the time when they came.
+    /// Late requests, by time of arrival.
     late: BTreeSet<Turn>,
     /// Late requests that were sent to a target.
     late_sent: Fading,
-    /// From sending a request to its first event, in milliseconds.
+    /// Time from sending a request to its first event, in milliseconds.
     first_event_ms: Fading,
 }
 
-/// What is known when a request finds no target.
+/// The state of the targets when a request finds none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Situation {
-    /// Whether targets serve it and are only full.
+    /// Whether targets that serve the request exist and are only full.
     pub is_full: bool,
-    /// Milliseconds until the next target will serve, if that is known.
+    /// Milliseconds until the next target will serve; `None` if unknown.
     pub ready_ms: Option<u64>,
-    /// Requests that targets finish in a second, for this entry host; while
-    /// none serves, that they will.
+    /// This entry host's part of the requests that targets finish per second;
+    /// while no target serves, of those they will finish.
     pub rate_per_s: f64,
-    /// Milliseconds until a target takes any again; 0 if one does. Targets
-    /// that name a limit take none while they have got more than that.
+    /// Milliseconds until a target accepts requests again; 0 if one does now.
+    /// Targets that name a limit accept none while they have received more
+    /// than that.
     pub blocked_ms: u64,
-    /// Whether every target that is known leaves: another has to start first.
+    /// Whether all known targets are leaving: another has to start first.
     pub all_leave: bool,
 }
 
-/// What becomes of a request that finds no target.
+/// The decision on a request that finds no target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It waits on, in this place.
+    /// The request waits in this queue.
     Wait(Place),
-    /// It is given up; if it has not run, it may come back after this many
-    /// milliseconds.
+    /// The request is given up; if it has not run, it may be tried again after
+    /// this many milliseconds.
     GiveUp(u64),
 }
 
-/// Time after which what was seen of a queue counts half, in milliseconds: a
-/// change of load shows within a second or two, and a single burst does not
-/// rule alone.
+/// Half-life of the weight of what is measured on a queue, in milliseconds. A
+/// change of load shows within a second or two, and no single burst dominates.
 const HALF_LIFE_MS: f64 = 1_000.0;
 
-/// What a first event takes at a target with room, in milliseconds: 115 to
-/// 150 on targets that are half full. The guess before any was seen, which
-/// counts as much as [`FIRST_EVENT_GUESSES`] of them.
+/// The assumed time to the first event at a target with room, in milliseconds,
+/// which has the weight of [`FIRST_EVENT_PRIOR_WEIGHT`] measurements. It is
+/// 115 to 150 ms on targets that are half full.
 const FIRST_EVENT_MS: f64 = 120.0;
 
-/// What the guess counts for.
+/// The weight of the assumed time to the first event.
 const FIRST_EVENT_GUESSES: f64 = 3.0;
 
-/// The share of its goal that a request may wait while no target serves it.
+/// The share of its goal for which a request may wait while no target serves
+/// it.
 const WAIT_SHARE: f64 = 0.22;
 
-/// From the first target that serves until half of them do, in milliseconds,
-/// after a fleet was empty. Measured: 0.4 to 0.8 s.
+/// The time from the first target that serves until half of them do, in
+/// milliseconds, after a fleet was empty. It is 0.4 to 0.8 s.
 const SPREAD_MS: u64 = 500;
 
-/// When a target serves again if nothing is known of any, in milliseconds:
-/// an empty fleet is filled in about 4 s, half of it on the average.
+/// The assumed time until a target serves again if nothing is known, in
+/// milliseconds. An empty fleet is filled in about 4 s, on average half of it.
 const UNKNOWN_READY_MS: u64 = 2_000;
 
-/// Callers leave a stream that shows nothing for the longest of this time,
-/// four goals and eight pauses, as the platform's users tell.
+/// Callers leave a stream that is silent for the longest of this time, four
+/// goals and eight pause goals, as the platform documents it. In milliseconds.
 const SILENT_STREAM_MS: u64 = 2_000;
 
 impl Default for Queue {
@@ -111,8 +114,8 @@
         }
     }
 
-    /// Those that wait and are to be sent before a request that can be in
-    /// time and has to be sent by `turn`.
+    /// Returns how many waiting requests precede one that can meet its goal
+    /// and has the key `turn`.
     fn before(&self, turn: Turn) -> u32 {
         self.in_time.range(..turn).count() as u32
     }
@@ -122,8 +125,8 @@
         seen.mean(now_ms, FIRST_EVENT_MS, FIRST_EVENT_GUESSES) as u64
     }
 
-    /// Milliseconds until the late ones that wait have all been sent; `None`
-    /// if none is being sent.
+    /// Returns the milliseconds until all waiting late requests have been
+    /// sent; `None` if none is being sent.
     fn late_ms(&self, now_ms: u64) -> Option<u64> {
         let rate_per_s = self.late_sent.rate_per_s(now_ms);
         match self.late.len() {
@@ -137,13 +140,13 @@
 }
 
 impl WaitingRoom {
-    /// Nobody waits.
+    /// Creates empty queues.
     pub fn new() -> WaitingRoom {
         WaitingRoom::default()
     }
 
-    /// Puts a request into one place of its service's queue. One that some
-    /// target has had already has fewer to go to: it waits beside the queue.
+    /// Adds a request to a queue of its service. A request that a target has
+    /// had before has fewer targets to go to: it waits outside the queues.
     pub fn enter(&mut self, request: &mut Admission, place: Place) {
         if request.place == place {
             return;
@@ -168,7 +171,7 @@
         request.turn = Some(turn);
     }
 
-    /// Takes a request out of the queue, if it was in.
+    /// Removes a request from its queue, if it is in one.
     pub fn leave(&mut self, request: &mut Admission) {
         let queue = self.queues.get_mut(&request.service.name);
         let turns = queue.and_then(|queue| queue.turns_mut(request.place));
@@ -178,7 +181,7 @@
         request.place = Place::Nowhere;
     }
 
-    /// Whether no other request is to be sent first.
+    /// Returns whether no other request is to be sent before this one.
     pub fn is_next(&self, now_ms: u64, request: &Admission) -> bool {
         let Some(queue) = self.queues.get(&request.service.name) else {
             return true;
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Notes that a request was sent to a target.
+    /// Records that a request was sent to a target.
     pub fn note_sent(&mut self, now_ms: u64, request: &Admission) {
         if self.is_late(now_ms, request) {
             let name = request.service.name.clone();
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Notes how long the first event of a request took from its sending.
+    /// Records the time from sending a request to its first event.
     pub fn note_first_event(
         &mut self,
         now_ms: u64,
@@ -220,17 +223,18 @@
         queue.first_event_ms.add(now_ms, took_ms as f64);
     }
 
-    /// What a first event of a service takes now, in milliseconds.
+    /// Returns the expected time to a first event of the request's service, in
+    /// milliseconds.
     fn first_event_ms(&self, now_ms: u64, request: &Admission) -> u64 {
         let queue = self.queues.get(&request.service.name);
         queue.map_or(FIRST_EVENT_MS as u64, |q| q.first_event_ms(now_ms))
     }
 
-    /// Whether a request can no longer be in time, were it sent now. One that
-    /// is back was refused before; its goal counts from the first try. A
-    /// stream that goes on is in time if its next event is: judged by its
-    /// first one, it took only what others left over, and 119 of 180 that
-    /// were cut in change-overs paused for too long.
+    /// Returns whether a request would miss its goal if it were sent now. A
+    /// try after a refusal is late, since the goal counts from the first try.
+    /// A resumed stream is judged by its next event: when it was judged by its
+    /// first one, it got only what others left, and 119 of 180 streams that
+    /// were cut in swaps of weights paused for too long.
     pub fn is_late(&self, now_ms: u64, request: &Admission) -> bool {
         let first_event_ms = self.first_event_ms(now_ms, request);
         if let Some(last_ms) = request.last_event_ms {
@@ -243,7 +247,7 @@
             || waited_ms + first_event_ms > request.route.goal_ms
     }
 
-    /// What becomes of a request that has waited for `waited_ms`.
+    /// Decides on a request that has waited for `waited_ms`.
     pub fn judge(
         &self,
         now_ms: u64,
@@ -264,7 +268,8 @@
         self.judge_late(now_ms, request, left_ms, situation.blocked_ms)
     }
 
-    /// Milliseconds until those that wait here have all been taken.
+    /// Returns the milliseconds until the requests that wait now have been
+    /// taken.
     fn queue_ms(&self, request: &Admission, rate_per_s: f64) -> u64 {
         let queue = self.queues.get(&request.service.name);
         let waiting =
@@ -272,7 +277,8 @@
         time_ms(waiting as u32, rate_per_s)
     }
 
-    /// Whether a request will be in time behind those that can be as well.
+    /// Returns whether a request will meet its goal behind those queued before
+    /// it.
     fn will_be_in_time(
         &self,
         now_ms: u64,
@@ -295,9 +301,10 @@
         taken_ms <= request.route.goal_ms
     }
 
-    /// While targets are full: one that cannot be in time waits, until its
-    /// caller leaves, if those before it are being served by then. One at a
-    /// time waits to see whether any is.
+    /// Decides on a late request while targets are full. It waits until its
+    /// caller leaves, if the late requests before it will be served by then.
+    /// If none is being served, one at a time waits to find out whether any
+    /// is.
     fn judge_late(
         &self,
         now_ms: u64,
@@ -326,18 +333,19 @@
     }
 }
 
-/// When a request has to have its first event.
+/// Returns when the first event of a request is due.
 fn goal_at_ms(request: &Admission) -> u64 {
     request.arrived_ms + request.route.goal_ms
 }
 
-/// Milliseconds that `count` requests take.
+/// Returns the time in which `count` requests are taken, in milliseconds.
 fn time_ms(count: u32, rate_per_s: f64) -> u64 {
     (f64::from(count) * 1e3 / rate_per_s.max(1.0)) as u64
 }
 
-/// While no target serves: a first try is told early when one will; a try
-/// that is back waits if it will be taken before its caller leaves.
+/// Decides on a request while no target serves. A first try is refused early
+/// with the time at which one will; a later try waits if it will be taken
+/// before its caller leaves.
 fn judge_empty(
     request: &Admission,
     waited_ms: u64,
@@ -367,7 +375,7 @@
     Verdict::GiveUp(capped(request, ready_ms))
 }
 
-/// When the caller leaves if it has got nothing.
+/// Returns when the caller leaves if it has received nothing.
 fn leaves_at_ms(request: &Admission) -> u64 {
     let route = &request.route;
     match route.kind {
@@ -381,8 +389,8 @@
     }
 }
 
-/// A time to come back that the caller will heed: a third of what it has
-/// left at most.
+/// Limits a retry time to one that the caller will heed: at most a third of
+/// its total time, and at least [`MIN_RETRY_AFTER_MS`].
 fn capped(request: &Admission, ms: u64) -> u64 {
     let total_ms = request.due_ms.saturating_sub(request.arrived_ms);
     let most_ms = (total_ms / 3).max(RETRY_AFTER_LEAST_MS);
