--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -3,8 +3,8 @@
 use std::{collections::HashMap, sync::Arc};
 
 use super::{
+    decaying_sum::DecayingSum,
     ends::TargetEnd,
-    fading::Fading,
     quarantine::{Quarantine, Standing},
     request::{
         ANSWER_MARGIN_MS, Admission, Dispatch, Next, Obstacle, Place,
@@ -48,7 +48,7 @@
     entry_hosts: usize,
     /// The number of entry hosts that may exist, alive or not.
     known_entry_hosts: usize,
-    arrivals: Fading,
+    arrivals: DecayingSum,
     pub(super) room: WaitingRoom,
     /// Detection of requests that crash their targets.
     pub quarantine: Quarantine,
@@ -100,7 +100,7 @@
             versions_heard_ms: None,
             entry_hosts: 1,
             known_entry_hosts: 1,
-            arrivals: Fading::new(DEMAND_HALF_LIFE_MS),
+            arrivals: DecayingSum::new(DEMAND_HALF_LIFE_MS),
             room: WaitingRoom::new(),
             quarantine: Quarantine::new(),
         }
--- a/crates/raildale-core/src/gateway/fading.rs
+++ b/crates/raildale-core/src/gateway/decaying_sum.rs
@@ -2,17 +2,17 @@
 
 /// A sum and a count of values that decay with the same half-life.
 #[derive(Clone, Copy, Debug)]
-pub struct Fading {
+pub struct DecayingSum {
     half_life_ms: f64,
     sum: f64,
     count: f64,
     at_ms: u64,
 }
 
-impl Fading {
+impl DecayingSum {
     /// Creates an empty sum; a value's weight halves every `half_life_ms`.
-    pub fn new(half_life_ms: f64) -> Fading {
-        Fading { half_life_ms, sum: 0.0, count: 0.0, at_ms: 0 }
+    pub fn new(half_life_ms: f64) -> DecayingSum {
+        DecayingSum { half_life_ms, sum: 0.0, count: 0.0, at_ms: 0 }
     }
 
     /// Adds a value.
--- a/crates/raildale-core/src/gateway/mod.rs
+++ b/crates/raildale-core/src/gateway/mod.rs
@@ -24,9 +24,9 @@
 //! * [`fingerprint`]: identity of a request across its tries.
 
 pub mod admission;
+pub mod decaying_sum;
 pub mod ends;
 pub mod event_stream;
-pub mod fading;
 pub mod fingerprint;
 pub mod lapse;
 pub mod notices;
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use super::{
+    decaying_sum::DecayingSum,
     ends::{EndSign, StartId, TargetEnd},
-    fading::Fading,
     lapse::Lapse,
 };
 use crate::{Name, catalog::Stamp};
@@ -492,7 +492,7 @@
 
 /// The exponentially decaying share of requests that failed.
 #[derive(Clone, Copy, Debug)]
-struct FailureRate(Fading);
+struct FailureRate(DecayingSum);
 
 /// Half-life of an outcome's weight, in milliseconds.
 const HALF_LIFE_MS: f64 = 2_000.0;
@@ -503,7 +503,7 @@
 
 impl FailureRate {
     fn new() -> FailureRate {
-        FailureRate(Fading::new(HALF_LIFE_MS))
+        FailureRate(DecayingSum::new(HALF_LIFE_MS))
     }
 
     fn add(&mut self, now_ms: u64, failed: f64) {
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use super::{
-    fading::Fading,
+    decaying_sum::DecayingSum,
     request::{Admission, Place, RETRY_AFTER_LEAST_MS, Turn},
     routes::RouteKind,
 };
@@ -33,9 +33,9 @@
     /// Late requests, by time of arrival.
     late: BTreeSet<Turn>,
     /// Late requests that were sent to a target.
-    late_sent: Fading,
+    late_sent: DecayingSum,
     /// Time from sending a request to its first event, in milliseconds.
-    first_event_ms: Fading,
+    first_event_ms: DecayingSum,
 }
 
 /// The state of the targets when a request finds none.
@@ -99,8 +99,8 @@
         Queue {
             in_time: BTreeSet::new(),
             late: BTreeSet::new(),
-            late_sent: Fading::new(HALF_LIFE_MS),
-            first_event_ms: Fading::new(HALF_LIFE_MS),
+            late_sent: DecayingSum::new(HALF_LIFE_MS),
+            first_event_ms: DecayingSum::new(HALF_LIFE_MS),
         }
     }
 }
