--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -4,7 +4,6 @@
 
 use super::{
     decaying_sum::DecayingSum,
-    ends::TargetEnd,
     quarantine::{Quarantine, Standing},
     request::{
         ANSWER_MARGIN_MS, Admission, Dispatch, Next, Obstacle, Place,
@@ -14,6 +13,7 @@
     routes::{NoRoute, Routing},
     shares::{Sender, Shares},
     target::Target,
+    target_end::TargetEnd,
     targets::{Need, Targets, VersionBound},
     versions::NamedVersion,
     waiting::{Situation, Verdict, WaitingRoom},
--- a/crates/raildale-core/src/gateway/mod.rs
+++ b/crates/raildale-core/src/gateway/mod.rs
@@ -25,7 +25,6 @@
 
 pub mod admission;
 pub mod decaying_sum;
-pub mod ends;
 pub mod event_stream;
 pub mod fingerprint;
 pub mod lapse;
@@ -37,6 +36,7 @@
 pub mod routes;
 pub mod shares;
 pub mod target;
+pub mod target_end;
 pub mod targets;
 pub mod versions;
 pub mod waiting;
--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -10,7 +10,7 @@
     NoticeNews,
     quota::{OwnPart, Quota},
 };
-use crate::gateway::ends::StartId;
+use crate::gateway::target_end::StartId;
 
 /// The time window in which targets count their requests, in milliseconds, as
 /// the platform documents it.
--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -19,7 +19,7 @@
     limit::{Limit, SentTimes},
     quota::OwnPart,
 };
-use super::ends::StartId;
+use super::target_end::StartId;
 
 /// The notice in the head of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/raildale-core/src/gateway/notices/quota.rs
+++ b/crates/raildale-core/src/gateway/notices/quota.rs
@@ -7,7 +7,7 @@
 //! is, and all together hold no more tokens at once than a single host would.
 //! A difference between the hosts' clocks shifts tokens and creates none.
 
-use crate::gateway::ends::StartId;
+use crate::gateway::target_end::StartId;
 
 /// How long a token may be used, in seconds. This limits a burst to the
 /// requests of one second.
--- a/crates/raildale-core/src/gateway/notices/told.rs
+++ b/crates/raildale-core/src/gateway/notices/told.rs
@@ -3,7 +3,7 @@
 use std::{cmp::Reverse, net::IpAddr};
 
 use super::{ENDED_TOLD_MS, Known, NoticeNews, Notices};
-use crate::{fleet_message::ToldNotice, gateway::ends::StartId};
+use crate::{fleet_message::ToldNotice, gateway::target_end::StartId};
 
 /// How long it is sent to other entry hosts that a start is leaving, in
 /// milliseconds. Most starts have ended by then, and an entry host that still
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -28,7 +28,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use super::{ends::StartId, fingerprint::Fingerprint};
+use super::{fingerprint::Fingerprint, target_end::StartId};
 
 pub use self::{record::Record, suspect::Suspect};
 
--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -4,7 +4,7 @@
 use super::{Quarantine, SURE_LOSSES, SUSPECT_KEPT_MS};
 use crate::{
     fleet_message::{ToldLoss, ToldSuspect},
-    gateway::{ends::StartId, fingerprint::Fingerprint},
+    gateway::{fingerprint::Fingerprint, target_end::StartId},
 };
 
 /// A culprit as it is stored.
--- a/crates/raildale-core/src/gateway/quarantine/suspect.rs
+++ b/crates/raildale-core/src/gateway/quarantine/suspect.rs
@@ -1,7 +1,7 @@
 //! The starts of targets that one fingerprint has lost.
 
 use super::{CLEARED_KEPT_MS, SUSPECT_KEPT_MS, TOGETHER_MS};
-use crate::gateway::ends::StartId;
+use crate::gateway::target_end::StartId;
 
 /// The maximum number of losses that are kept of one fingerprint.
 const LOSSES_MOST: usize = 16;
--- a/crates/raildale-core/src/gateway/quarantine/told.rs
+++ b/crates/raildale-core/src/gateway/quarantine/told.rs
@@ -3,7 +3,7 @@
 use super::{CLEARED_KEPT_MS, Quarantine, Suspect};
 use crate::{
     fleet_message::{ToldLoss, ToldSuspect},
-    gateway::{ends::StartId, fingerprint::Fingerprint},
+    gateway::{fingerprint::Fingerprint, target_end::StartId},
 };
 
 /// The maximum number of suspects in one heartbeat: 1.5 KB with three losses
--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use super::{
-    ends::StartId,
     fingerprint::Fingerprint,
     routes::{Organisation, Route, RouteKind, Service},
+    target_end::StartId,
 };
 use crate::{Code, Name};
 
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -4,8 +4,8 @@
 
 use super::{
     decaying_sum::DecayingSum,
-    ends::{EndSign, StartId, TargetEnd},
     lapse::Lapse,
+    target_end::{EndSign, StartId, TargetEnd},
 };
 use crate::{Name, catalog::Stamp};
 
--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    catalog::Stamp, fleet_message::ToldDeparture, gateway::ends::StartId,
+    catalog::Stamp, fleet_message::ToldDeparture, gateway::target_end::StartId,
 };
 
 /// How long a departure is remembered, in milliseconds: the longest time that
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -13,11 +13,11 @@
 
 use self::departed::Departed;
 use super::{
-    ends::{EndSign, StartId, TargetEnd},
     notices::Notices,
     routes::{EngineSpec, Service},
     shares::{Parts, Shares},
     target::{Outcome, Target, TargetReport, TargetSpec},
+    target_end::{EndSign, StartId, TargetEnd},
 };
 use crate::{Name, catalog::Stamp};
 
--- a/crates/raildale-core/tests/departed.rs
+++ b/crates/raildale-core/tests/departed.rs
@@ -2,7 +2,7 @@
 
 use raildale_core::{
     catalog::Stamp,
-    gateway::{ends::StartId, targets::departed::Departed},
+    gateway::{target_end::StartId, targets::departed::Departed},
 };
 
 const START_MS: u64 = 1_000_000;
--- a/crates/raildale-core/tests/notices_world/mod.rs
+++ b/crates/raildale-core/tests/notices_world/mod.rs
@@ -15,8 +15,8 @@
     gateway::{
         Admission, Gateway, GatewayConfig, Outcome, RequestHead, Route,
         RouteKind, Routing, Service, TargetNotice, TargetReport, TargetSpec,
-        ends::StartId, request::Next, retry_budget::RetryBound,
-        routes::EngineSpec, shares::Sender,
+        request::Next, retry_budget::RetryBound, routes::EngineSpec,
+        shares::Sender, target_end::StartId,
     },
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -4,8 +4,8 @@
     fleet_message::ToldSuspect,
     gateway::{
         Fingerprint,
-        ends::StartId,
         quarantine::{Quarantine, Standing},
+        target_end::StartId,
     },
 };
 use yare::parameterized;
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -9,8 +9,8 @@
 
 use raildale_core::gateway::{
     Fingerprint,
-    ends::StartId,
     quarantine::{Quarantine, Standing},
+    target_end::StartId,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use yare::parameterized;
--- a/crates/raildale-core/tests/target_leaving.rs
+++ b/crates/raildale-core/tests/target_leaving.rs
@@ -17,8 +17,8 @@
     gateway::{
         Admission, Gateway, GatewayConfig, Outcome, RequestHead, Route,
         RouteKind, Routing, Service, TargetNotice, TargetReport, TargetSpec,
-        ends::StartId, request::Next, retry_budget::RetryBound,
-        routes::EngineSpec,
+        request::Next, retry_budget::RetryBound, routes::EngineSpec,
+        target_end::StartId,
     },
 };
 use yare::parameterized;
--- a/crates/raildale-core/tests/target_limit.rs
+++ b/crates/raildale-core/tests/target_limit.rs
@@ -17,12 +17,12 @@
     fleet_message::ToldNotice,
     gateway::{
         NoticeNews, TargetNotice, TargetSpec,
-        ends::StartId,
         notices::{
             Notices,
             quota::{OwnPart, Quota},
         },
         request::Next,
+        target_end::StartId,
     },
 };
 use yare::parameterized;
--- a/crates/raildale/src/fleet/entry/attempt.rs
+++ b/crates/raildale/src/fleet/entry/attempt.rs
@@ -8,8 +8,8 @@
 use raildale_core::{
     Name,
     gateway::{
-        Admission, EventSplitter, Fingerprint, Outcome, ends::StartId,
-        outcomes::Silence,
+        Admission, EventSplitter, Fingerprint, Outcome, outcomes::Silence,
+        target_end::StartId,
     },
 };
 
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -7,8 +7,8 @@
     fleet_message::ToldVersion,
     gateway::{
         Target,
-        ends::StartId,
         lapse::{LAPSE_MS, Lapse, StoreView},
+        target_end::StartId,
         versions::{NamedVersion, VersionNews},
     },
 };
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -4,7 +4,7 @@
     LogEvent, Name,
     catalog::{Kind, Progress, Snapshot, Stamp, StoredObject},
     fleet_message::ToldDeparture,
-    gateway::ends::StartId,
+    gateway::target_end::StartId,
 };
 
 use super::EntryHost;
