--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -6,8 +6,8 @@
     decaying_sum::DecayingSum,
     quarantine::{Quarantine, Standing},
     request::{
-        ANSWER_MARGIN_MS, Admission, Dispatch, Next, Obstacle, Place,
-        RETRY_AFTER_LEAST_MS, Refusal, RequestHead, refusal,
+        ANSWER_MARGIN_MS, Admission, Dispatch, MIN_RETRY_AFTER_MS, Next,
+        Obstacle, Place, Refusal, RequestHead, refusal,
     },
     retry_budget::{RetryBound, RetryBudget},
     routes::{NoRoute, Routing},
@@ -309,8 +309,8 @@
             Standing::Waits if waited_ms < request.route.goal_ms => {
                 return Some(Next::Wait(LOOK_AGAIN_MS));
             }
-            Standing::Waits => RETRY_AFTER_LEAST_MS,
-            Standing::Kept(back_ms) => back_ms.max(RETRY_AFTER_LEAST_MS),
+            Standing::Waits => MIN_RETRY_AFTER_MS,
+            Standing::Kept(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
         };
         let mut refusal = self.give_up(request, Code::Quarantined);
         refusal.retry_after_ms = refusal.retry_after_ms.map(|_| back_ms);
--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -178,7 +178,7 @@
 
 /// The minimum time after which a refused request is to be tried again, in
 /// milliseconds.
-pub const RETRY_AFTER_LEAST_MS: u64 = 400;
+pub const MIN_RETRY_AFTER_MS: u64 = 400;
 
 impl Refusal {
     /// Returns the refusal with another obstacle.
@@ -194,6 +194,6 @@
     Refusal {
         code,
         obstacle: Obstacle::Host,
-        retry_after_ms: is_worth_it.then_some(RETRY_AFTER_LEAST_MS),
+        retry_after_ms: is_worth_it.then_some(MIN_RETRY_AFTER_MS),
     }
 }
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -11,7 +11,7 @@
 
 use super::{
     decaying_sum::DecayingSum,
-    request::{Admission, Place, RETRY_AFTER_LEAST_MS, Turn},
+    request::{Admission, MIN_RETRY_AFTER_MS, Place, Turn},
     routes::RouteKind,
 };
 use crate::Name;
@@ -393,6 +393,6 @@
 /// its total time, and at least [`MIN_RETRY_AFTER_MS`].
 fn capped(request: &Admission, ms: u64) -> u64 {
     let total_ms = request.due_ms.saturating_sub(request.arrived_ms);
-    let most_ms = (total_ms / 3).max(RETRY_AFTER_LEAST_MS);
-    ms.clamp(RETRY_AFTER_LEAST_MS, most_ms)
+    let most_ms = (total_ms / 3).max(MIN_RETRY_AFTER_MS);
+    ms.clamp(MIN_RETRY_AFTER_MS, most_ms)
 }
--- a/crates/raildale/src/fleet/entry/hedge.rs
+++ b/crates/raildale/src/fleet/entry/hedge.rs
@@ -8,7 +8,7 @@
 
 use raildale_core::{
     Name,
-    gateway::{Admission, outcomes::Silence, request::RETRY_AFTER_LEAST_MS},
+    gateway::{Admission, outcomes::Silence, request::MIN_RETRY_AFTER_MS},
 };
 
 use super::{
@@ -99,7 +99,7 @@
                     return Ended::Other(Box::new(other));
                 }
                 Raced::Neither => {
-                    quiet_until_ms = now_ms() + RETRY_AFTER_LEAST_MS;
+                    quiet_until_ms = now_ms() + MIN_RETRY_AFTER_MS;
                 }
             }
         }
