--- a/crates/raildale-core/src/gateway/lapse.rs
+++ b/crates/raildale-core/src/gateway/lapse.rs
@@ -23,7 +23,7 @@
 /// The time, in milliseconds, within which entries that lapsed during a store
 /// outage are listed again after the store's recovery, as the platform
 /// documents it.
-pub const LAPSE_MS: u64 = 2_200;
+pub const RELIST_TIMEOUT_MS: u64 = 2_200;
 
 impl Lapse {
     /// Returns whether the target is gone for good.
@@ -34,8 +34,9 @@
     /// it had said so. A host that heard of it from a peer doesn't know when
     /// the store recovered, only that it had recovered by then.
     pub fn is_over(&self, now_ms: u64, store: StoreView) -> bool {
-        let is_settled = store.sees_store && now_ms > store.back_ms + LAPSE_MS;
-        let is_old = now_ms > self.at_ms + LAPSE_MS;
+        let is_settled =
+            store.sees_store && now_ms > store.back_ms + RELIST_TIMEOUT_MS;
+        let is_old = now_ms > self.at_ms + RELIST_TIMEOUT_MS;
         match self.is_told {
             true if store.is_watcher => is_settled,
             true => is_old,
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -12,7 +12,7 @@
     gateway::{
         Admission, Gateway, GatewayConfig, Outcome, RequestHead, Route,
         RouteKind, Routing, Service, TargetReport, TargetSpec,
-        lapse::{LAPSE_MS, Lapse, StoreView},
+        lapse::{Lapse, RELIST_TIMEOUT_MS, StoreView},
         request::{Dispatch, Next},
         retry_budget::RetryBound,
         routes::EngineSpec,
@@ -329,7 +329,7 @@
             let after_ms = gap_ms * (target + 1) as f64;
             self.schedule(after_ms, Event::Relist(target));
         }
-        self.schedule(LAPSE_MS as f64 + 1.0, Event::Sweep);
+        self.schedule(RELIST_TIMEOUT_MS as f64 + 1.0, Event::Sweep);
     }
 
     fn relist(&mut self, place: usize) {
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -7,7 +7,7 @@
     fleet_message::ToldVersion,
     gateway::{
         Target,
-        lapse::{LAPSE_MS, Lapse, StoreView},
+        lapse::{Lapse, RELIST_TIMEOUT_MS, StoreView},
         target_end::StartId,
         versions::{NamedVersion, VersionNews},
     },
@@ -318,7 +318,7 @@
                 Teller::EntryHost { lapsed } => lapsed.contains(name),
                 Teller::Store { .. } => {
                     !self.sees_store()
-                        || now < self.store_back_ms.get() + LAPSE_MS
+                        || now < self.store_back_ms.get() + RELIST_TIMEOUT_MS
                 }
             };
         let mut gateway = self.gateway.borrow_mut();
