--- a/crates/raildale-core/src/gateway/lapse.rs
+++ b/crates/raildale-core/src/gateway/lapse.rs
@@ -6,7 +6,7 @@
     /// When it became known here, on the process's clock.
     pub at_ms: u64,
     /// Whether another entry host reported it rather than the store.
-    pub is_told: bool,
+    pub is_from_peer: bool,
 }
 
 /// What an entry host knows of the store's state.
@@ -37,7 +37,7 @@
         let is_settled =
             store.sees_store && now_ms > store.back_ms + RELIST_TIMEOUT_MS;
         let is_old = now_ms > self.at_ms + RELIST_TIMEOUT_MS;
-        match self.is_told {
+        match self.is_from_peer {
             true if store.is_watcher => is_settled,
             true => is_old,
             false => is_settled || is_old && !store.is_watcher,
--- a/crates/raildale-core/tests/gateway.rs
+++ b/crates/raildale-core/tests/gateway.rs
@@ -911,11 +911,11 @@
     told_and_not_watching = { true, false, 4_150 },
 )]
 fn a_lapse_is_over_once_the_store_has_been_back(
-    is_told: bool,
+    is_from_peer: bool,
     is_watcher: bool,
     over_ms: u64,
 ) {
-    let lapse = Lapse { at_ms: START_MS + 1_900, is_told };
+    let lapse = Lapse { at_ms: START_MS + 1_900, is_from_peer };
     let back_ms = START_MS;
     let store = StoreView { is_watcher, sees_store: true, back_ms };
     let over = (0..100)
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -320,7 +320,7 @@
             for place in 0..self.targets.len() {
                 let targets = &mut host.gateway.targets;
                 if let Some(target) = targets.get_mut(&target_id(place)) {
-                    target.lapse = Some(Lapse { at_ms, is_told: false });
+                    target.lapse = Some(Lapse { at_ms, is_from_peer: false });
                 }
             }
         }
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -324,8 +324,8 @@
         let mut gateway = self.gateway.borrow_mut();
         if is_doubtful {
             if let Some(target) = gateway.targets.get_mut(name) {
-                let is_told = matches!(teller, Teller::EntryHost { .. });
-                target.lapse.get_or_insert(Lapse { at_ms: now, is_told });
+                let is_from_peer = matches!(teller, Teller::EntryHost { .. });
+                target.lapse.get_or_insert(Lapse { at_ms: now, is_from_peer });
             }
         } else {
             let gone = self.known.stamp(Kind::Targets);
