--- a/crates/raildale-core/src/gateway/lapse.rs
+++ b/crates/raildale-core/src/gateway/lapse.rs
@@ -17,7 +17,7 @@
     /// Whether the store answered this entry host's last call.
     pub sees_store: bool,
     /// When the store recovered from its last outage; 0 if there was none.
-    pub back_ms: u64,
+    pub recovered_ms: u64,
 }
 
 /// The time, in milliseconds, within which entries that lapsed during a store
@@ -34,8 +34,8 @@
     /// it had said so. A host that heard of it from a peer doesn't know when
     /// the store recovered, only that it had recovered by then.
     pub fn is_over(&self, now_ms: u64, store: StoreView) -> bool {
-        let is_settled =
-            store.sees_store && now_ms > store.back_ms + RELIST_TIMEOUT_MS;
+        let is_settled = store.sees_store
+            && now_ms > store.recovered_ms + RELIST_TIMEOUT_MS;
         let is_old = now_ms > self.at_ms + RELIST_TIMEOUT_MS;
         match self.is_from_peer {
             true if store.is_watcher => is_settled,
--- a/crates/raildale-core/tests/gateway.rs
+++ b/crates/raildale-core/tests/gateway.rs
@@ -916,8 +916,8 @@
     over_ms: u64,
 ) {
     let lapse = Lapse { at_ms: START_MS + 1_900, is_from_peer };
-    let back_ms = START_MS;
-    let store = StoreView { is_watcher, sees_store: true, back_ms };
+    let recovered_ms = START_MS;
+    let store = StoreView { is_watcher, sees_store: true, recovered_ms };
     let over = (0..100)
         .map(|step| START_MS + step * 50)
         .find(|now_ms| lapse.is_over(*now_ms, store));
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -343,7 +343,7 @@
     fn sweep(&mut self) {
         let now_ms = self.clock_ms();
         let store =
-            StoreView { is_watcher: true, sees_store: true, back_ms: 0 };
+            StoreView { is_watcher: true, sees_store: true, recovered_ms: 0 };
         for host in &mut self.hosts {
             for place in 0..self.targets.len() {
                 let id = target_id(place);
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -173,7 +173,7 @@
         let store = StoreView {
             is_watcher: self.members.borrow().is_watcher(now),
             sees_store: self.sees_store(),
-            back_ms: self.store_back_ms.get(),
+            recovered_ms: self.store_back_ms.get(),
         };
         let is_over = |target: &&Target| {
             target.lapse.is_some_and(|lapse| lapse.is_over(now, store))
