--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -183,7 +183,7 @@
         Ok(Admission {
             fingerprint: None,
             due_ms: now_ms + held_ms.saturating_sub(ANSWER_MARGIN_MS),
-            is_back: (left_ms as f64)
+            is_retry: (left_ms as f64)
                 < route.timeout_ms as f64 * FIRST_TRY_SHARE,
             route,
             organisation,
--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -64,7 +64,7 @@
     pub due_ms: u64,
     /// Whether it seems to be a try after a refusal: its caller waits for less
     /// than the route allows.
-    pub is_back: bool,
+    pub is_retry: bool,
     /// When it was first sent to a target; until then, when it arrived.
     pub sent_ms: u64,
     /// The queue in which it waits.
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -242,7 +242,7 @@
             return next_ms > last_ms + request.route.gap_goal_ms;
         }
         let waited_ms = now_ms.saturating_sub(request.arrived_ms);
-        request.is_back
+        request.is_retry
             || request.place == Place::Late
             || waited_ms + first_event_ms > request.route.goal_ms
     }
@@ -363,9 +363,9 @@
         ms + SPREAD_MS + queue_ms
     });
     let will_serve = taken_ms.is_some_and(|ms| ms < left_ms);
-    if waited_ms < patience_ms || request.is_back && will_serve {
+    if waited_ms < patience_ms || request.is_retry && will_serve {
         let place = match request.place {
-            Place::Nowhere if request.is_back => Place::Late,
+            Place::Nowhere if request.is_retry => Place::Late,
             Place::Nowhere => Place::InTime,
             place => place,
         };
--- a/crates/raildale/src/fleet/entry/exchange_log.rs
+++ b/crates/raildale/src/fleet/entry/exchange_log.rs
@@ -47,7 +47,7 @@
             status.as_u16(),
             self.request.tried.len(),
             self.request.sent_ms.saturating_sub(self.request.arrived_ms),
-            self.request.is_back,
+            self.request.is_retry,
         );
         self.host.log(LogEvent::RequestDone, &detail);
     }
