--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -7,7 +7,7 @@
     quarantine::{Quarantine, Standing},
     request::{
         ANSWER_MARGIN_MS, Admission, Dispatch, MIN_RETRY_AFTER_MS, Next,
-        Obstacle, Place, Refusal, RequestHead, refusal,
+        Obstacle, QueueKind, Refusal, RequestHead, refusal,
     },
     retry_budget::{RetryBound, RetryBudget},
     routes::{NoRoute, Routing},
@@ -191,7 +191,7 @@
             model: head.model.clone(),
             arrived_ms: now_ms,
             sent_ms: now_ms,
-            place: Place::Nowhere,
+            place: QueueKind::Nowhere,
             turn: None,
             tried: Vec::new(),
             sent_to: None,
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -11,7 +11,7 @@
 
 use super::{
     decaying_sum::DecayingSum,
-    request::{Admission, MIN_RETRY_AFTER_MS, Place, Turn},
+    request::{Admission, MIN_RETRY_AFTER_MS, QueueKind, Turn},
     routes::RouteKind,
 };
 use crate::Name;
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The request waits in this queue.
-    Wait(Place),
+    Wait(QueueKind),
     /// The request is given up; if it has not run, it may be tried again after
     /// this many milliseconds.
     GiveUp(u64),
@@ -106,11 +106,11 @@
 }
 
 impl Queue {
-    fn turns_mut(&mut self, place: Place) -> Option<&mut BTreeSet<Turn>> {
+    fn turns_mut(&mut self, place: QueueKind) -> Option<&mut BTreeSet<Turn>> {
         match place {
-            Place::Nowhere => None,
-            Place::InTime => Some(&mut self.in_time),
-            Place::Late => Some(&mut self.late),
+            QueueKind::Nowhere => None,
+            QueueKind::InTime => Some(&mut self.in_time),
+            QueueKind::Late => Some(&mut self.late),
         }
     }
 
@@ -147,7 +147,7 @@
 
     /// Adds a request to a queue of its service. A request that a target has
     /// had before has fewer targets to go to: it waits outside the queues.
-    pub fn enter(&mut self, request: &mut Admission, place: Place) {
+    pub fn enter(&mut self, request: &mut Admission, place: QueueKind) {
         if request.place == place {
             return;
         }
@@ -161,8 +161,10 @@
         }
         let number = request.turn.map_or(self.entered, |(_, number)| number);
         let turn = match place {
-            Place::InTime => (goal_at_ms(request), number),
-            Place::Nowhere | Place::Late => (request.arrived_ms, number),
+            QueueKind::InTime => (goal_at_ms(request), number),
+            QueueKind::Nowhere | QueueKind::Late => {
+                (request.arrived_ms, number)
+            }
         };
         let queue = self.queues.entry(request.service.name.clone());
         if let Some(turns) = queue.or_default().turns_mut(place) {
@@ -178,7 +180,7 @@
         if let (Some(turns), Some(turn)) = (turns, request.turn) {
             turns.remove(&turn);
         }
-        request.place = Place::Nowhere;
+        request.place = QueueKind::Nowhere;
     }
 
     /// Returns whether no other request is to be sent before this one.
@@ -243,7 +245,7 @@
         }
         let waited_ms = now_ms.saturating_sub(request.arrived_ms);
         request.is_retry
-            || request.place == Place::Late
+            || request.place == QueueKind::Late
             || waited_ms + first_event_ms > request.route.goal_ms
     }
 
@@ -263,7 +265,7 @@
             );
         }
         if self.will_be_in_time(now_ms, request, situation) {
-            return Verdict::Wait(Place::InTime);
+            return Verdict::Wait(QueueKind::InTime);
         }
         self.judge_late(now_ms, request, left_ms, situation.blocked_ms)
     }
@@ -315,15 +317,15 @@
         let first_event_ms = self.first_event_ms(now_ms, request);
         let queue = self.queues.get(&request.service.name);
         let late_ms = match request.place {
-            Place::Late => Some(0),
-            Place::Nowhere | Place::InTime => {
+            QueueKind::Late => Some(0),
+            QueueKind::Nowhere | QueueKind::InTime => {
                 queue.map_or(Some(0), |queue| queue.late_ms(now_ms))
             }
         };
         let late_ms = late_ms.map(|ms| ms + blocked_ms);
         match late_ms {
             Some(ms) if ms + first_event_ms < left_ms => {
-                Verdict::Wait(Place::Late)
+                Verdict::Wait(QueueKind::Late)
             }
             _ => {
                 let back_ms = late_ms.unwrap_or(u64::MAX);
@@ -357,7 +359,7 @@
         true => 0,
         false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
     };
-    let is_waiting = request.place != Place::Nowhere;
+    let is_waiting = request.place != QueueKind::Nowhere;
     let taken_ms = situation.ready_ms.map(|ms| {
         let queue_ms = if is_waiting { 0 } else { queue_ms };
         ms + SPREAD_MS + queue_ms
@@ -365,8 +367,8 @@
     let will_serve = taken_ms.is_some_and(|ms| ms < left_ms);
     if waited_ms < patience_ms || request.is_retry && will_serve {
         let place = match request.place {
-            Place::Nowhere if request.is_retry => Place::Late,
-            Place::Nowhere => Place::InTime,
+            QueueKind::Nowhere if request.is_retry => QueueKind::Late,
+            QueueKind::Nowhere => QueueKind::InTime,
             place => place,
         };
         return Verdict::Wait(place);
