--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -191,7 +191,7 @@
             model: head.model.clone(),
             arrived_ms: now_ms,
             sent_ms: now_ms,
-            place: QueueKind::Nowhere,
+            place: QueueKind::NotQueued,
             turn: None,
             tried: Vec::new(),
             sent_to: None,
--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -33,7 +33,7 @@
 pub enum QueueKind {
     /// It doesn't wait.
     #[default]
-    Nowhere,
+    NotQueued,
     /// The queue of requests that can still meet their goal.
     InTime,
     /// The queue of requests that can no longer meet their goal.
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -108,7 +108,7 @@
 impl Queue {
     fn turns_mut(&mut self, place: QueueKind) -> Option<&mut BTreeSet<Turn>> {
         match place {
-            QueueKind::Nowhere => None,
+            QueueKind::NotQueued => None,
             QueueKind::InTime => Some(&mut self.in_time),
             QueueKind::Late => Some(&mut self.late),
         }
@@ -162,7 +162,7 @@
         let number = request.turn.map_or(self.entered, |(_, number)| number);
         let turn = match place {
             QueueKind::InTime => (goal_at_ms(request), number),
-            QueueKind::Nowhere | QueueKind::Late => {
+            QueueKind::NotQueued | QueueKind::Late => {
                 (request.arrived_ms, number)
             }
         };
@@ -180,7 +180,7 @@
         if let (Some(turns), Some(turn)) = (turns, request.turn) {
             turns.remove(&turn);
         }
-        request.place = QueueKind::Nowhere;
+        request.place = QueueKind::NotQueued;
     }
 
     /// Returns whether no other request is to be sent before this one.
@@ -318,7 +318,7 @@
         let queue = self.queues.get(&request.service.name);
         let late_ms = match request.place {
             QueueKind::Late => Some(0),
-            QueueKind::Nowhere | QueueKind::InTime => {
+            QueueKind::NotQueued | QueueKind::InTime => {
                 queue.map_or(Some(0), |queue| queue.late_ms(now_ms))
             }
         };
@@ -359,7 +359,7 @@
         true => 0,
         false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
     };
-    let is_waiting = request.place != QueueKind::Nowhere;
+    let is_waiting = request.place != QueueKind::NotQueued;
     let taken_ms = situation.ready_ms.map(|ms| {
         let queue_ms = if is_waiting { 0 } else { queue_ms };
         ms + SPREAD_MS + queue_ms
@@ -367,8 +367,8 @@
     let will_serve = taken_ms.is_some_and(|ms| ms < left_ms);
     if waited_ms < patience_ms || request.is_retry && will_serve {
         let place = match request.place {
-            QueueKind::Nowhere if request.is_retry => QueueKind::Late,
-            QueueKind::Nowhere => QueueKind::InTime,
+            QueueKind::NotQueued if request.is_retry => QueueKind::Late,
+            QueueKind::NotQueued => QueueKind::InTime,
             place => place,
         };
         return Verdict::Wait(place);
