--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -191,7 +191,7 @@
             model: head.model.clone(),
             arrived_ms: now_ms,
             sent_ms: now_ms,
-            place: QueueKind::NotQueued,
+            queue_kind: QueueKind::NotQueued,
             turn: None,
             tried: Vec::new(),
             sent_to: None,
@@ -379,8 +379,8 @@
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
         match self.room.judge(now_ms, request, waited_ms, situation) {
-            Verdict::Wait(place) => {
-                self.room.enter(request, place);
+            Verdict::Wait(queue_kind) => {
+                self.room.enter(request, queue_kind);
                 Next::Wait(LOOK_AGAIN_MS)
             }
             Verdict::GiveUp(back_ms) => {
--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -68,7 +68,7 @@
     /// When it was first sent to a target; until then, when it arrived.
     pub sent_ms: u64,
     /// The queue in which it waits.
-    pub place: QueueKind,
+    pub queue_kind: QueueKind,
     /// Its last key in a queue; `None` if it has never waited.
     pub turn: Option<Turn>,
     /// The ids of the targets to which it was sent, oldest first.
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -106,8 +106,11 @@
 }
 
 impl Queue {
-    fn turns_mut(&mut self, place: QueueKind) -> Option<&mut BTreeSet<Turn>> {
-        match place {
+    fn turns_mut(
+        &mut self,
+        queue_kind: QueueKind,
+    ) -> Option<&mut BTreeSet<Turn>> {
+        match queue_kind {
             QueueKind::NotQueued => None,
             QueueKind::InTime => Some(&mut self.in_time),
             QueueKind::Late => Some(&mut self.late),
@@ -147,12 +150,12 @@
 
     /// Adds a request to a queue of its service. A request that a target has
     /// had before has fewer targets to go to: it waits outside the queues.
-    pub fn enter(&mut self, request: &mut Admission, place: QueueKind) {
-        if request.place == place {
+    pub fn enter(&mut self, request: &mut Admission, queue_kind: QueueKind) {
+        if request.queue_kind == queue_kind {
             return;
         }
         self.leave(request);
-        request.place = place;
+        request.queue_kind = queue_kind;
         if !request.tried.is_empty() {
             return;
         }
@@ -160,14 +163,14 @@
             self.entered += 1;
         }
         let number = request.turn.map_or(self.entered, |(_, number)| number);
-        let turn = match place {
+        let turn = match queue_kind {
             QueueKind::InTime => (goal_at_ms(request), number),
             QueueKind::NotQueued | QueueKind::Late => {
                 (request.arrived_ms, number)
             }
         };
         let queue = self.queues.entry(request.service.name.clone());
-        if let Some(turns) = queue.or_default().turns_mut(place) {
+        if let Some(turns) = queue.or_default().turns_mut(queue_kind) {
             turns.insert(turn);
         }
         request.turn = Some(turn);
@@ -176,11 +179,12 @@
     /// Removes a request from its queue, if it is in one.
     pub fn leave(&mut self, request: &mut Admission) {
         let queue = self.queues.get_mut(&request.service.name);
-        let turns = queue.and_then(|queue| queue.turns_mut(request.place));
+        let turns =
+            queue.and_then(|queue| queue.turns_mut(request.queue_kind));
         if let (Some(turns), Some(turn)) = (turns, request.turn) {
             turns.remove(&turn);
         }
-        request.place = QueueKind::NotQueued;
+        request.queue_kind = QueueKind::NotQueued;
     }
 
     /// Returns whether no other request is to be sent before this one.
@@ -245,7 +249,7 @@
         }
         let waited_ms = now_ms.saturating_sub(request.arrived_ms);
         request.is_retry
-            || request.place == QueueKind::Late
+            || request.queue_kind == QueueKind::Late
             || waited_ms + first_event_ms > request.route.goal_ms
     }
 
@@ -316,7 +320,7 @@
     ) -> Verdict {
         let first_event_ms = self.first_event_ms(now_ms, request);
         let queue = self.queues.get(&request.service.name);
-        let late_ms = match request.place {
+        let late_ms = match request.queue_kind {
             QueueKind::Late => Some(0),
             QueueKind::NotQueued | QueueKind::InTime => {
                 queue.map_or(Some(0), |queue| queue.late_ms(now_ms))
@@ -359,19 +363,19 @@
         true => 0,
         false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
     };
-    let is_waiting = request.place != QueueKind::NotQueued;
+    let is_waiting = request.queue_kind != QueueKind::NotQueued;
     let taken_ms = situation.ready_ms.map(|ms| {
         let queue_ms = if is_waiting { 0 } else { queue_ms };
         ms + SPREAD_MS + queue_ms
     });
     let will_serve = taken_ms.is_some_and(|ms| ms < left_ms);
     if waited_ms < patience_ms || request.is_retry && will_serve {
-        let place = match request.place {
+        let queue_kind = match request.queue_kind {
             QueueKind::NotQueued if request.is_retry => QueueKind::Late,
             QueueKind::NotQueued => QueueKind::InTime,
-            place => place,
+            queue_kind => queue_kind,
         };
-        return Verdict::Wait(place);
+        return Verdict::Wait(queue_kind);
     }
     let ready_ms = situation.ready_ms.unwrap_or(UNKNOWN_READY_MS);
     Verdict::GiveUp(capped(request, ready_ms))
