--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -42,7 +42,7 @@
 
 /// Sort key in a queue: the time that decides the order, and a sequence number
 /// among the requests that have been queued on this entry host.
-pub type Turn = (u64, u64);
+pub type QueueKey = (u64, u64);
 
 /// An admitted request and the decisions made about it so far.
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
     /// The queue in which it waits.
     pub queue_kind: QueueKind,
     /// Its last key in a queue; `None` if it has never waited.
-    pub turn: Option<Turn>,
+    pub turn: Option<QueueKey>,
     /// The ids of the targets to which it was sent, oldest first.
     pub tried: Vec<Name>,
     /// The target start to which it was last sent.
@@ -98,7 +98,7 @@
 
     /// Returns its key in the queue of requests that can still meet their
     /// goal.
-    pub fn in_time_turn(&self, goal_at_ms: u64) -> Turn {
+    pub fn in_time_turn(&self, goal_at_ms: u64) -> QueueKey {
         (goal_at_ms, self.number())
     }
 
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -11,7 +11,7 @@
 
 use super::{
     decaying_sum::DecayingSum,
-    request::{Admission, MIN_RETRY_AFTER_MS, QueueKind, Turn},
+    request::{Admission, MIN_RETRY_AFTER_MS, QueueKey, QueueKind},
     routes::RouteKind,
 };
 use crate::Name;
@@ -29,9 +29,9 @@
 struct Queue {
     /// Requests that can meet their goal, by the time by which their first
     /// event is due.
-    in_time: BTreeSet<Turn>,
+    in_time: BTreeSet<QueueKey>,
     /// Late requests, by time of arrival.
-    late: BTreeSet<Turn>,
+    late: BTreeSet<QueueKey>,
     /// Late requests that were sent to a target.
     late_sent: DecayingSum,
     /// Time from sending a request to its first event, in milliseconds.
@@ -109,7 +109,7 @@
     fn turns_mut(
         &mut self,
         queue_kind: QueueKind,
-    ) -> Option<&mut BTreeSet<Turn>> {
+    ) -> Option<&mut BTreeSet<QueueKey>> {
         match queue_kind {
             QueueKind::NotQueued => None,
             QueueKind::InTime => Some(&mut self.in_time),
@@ -119,7 +119,7 @@
 
     /// Returns how many waiting requests precede one that can meet its goal
     /// and has the key `turn`.
-    fn before(&self, turn: Turn) -> u32 {
+    fn before(&self, turn: QueueKey) -> u32 {
         self.in_time.range(..turn).count() as u32
     }
 
@@ -195,7 +195,7 @@
         if !request.tried.is_empty() {
             return true;
         }
-        let is_other = |turn: &&Turn| Some(**turn) != request.turn;
+        let is_other = |turn: &&QueueKey| Some(**turn) != request.turn;
         let first = queue.in_time.iter().find(is_other);
         match self.is_late(now_ms, request) {
             false => first.is_none_or(|first| {
