--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -192,7 +192,7 @@
             arrived_ms: now_ms,
             sent_ms: now_ms,
             queue_kind: QueueKind::NotQueued,
-            turn: None,
+            queue_key: None,
             tried: Vec::new(),
             sent_to: None,
             last_event_ms: None,
--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -70,7 +70,7 @@
     /// The queue in which it waits.
     pub queue_kind: QueueKind,
     /// Its last key in a queue; `None` if it has never waited.
-    pub turn: Option<QueueKey>,
+    pub queue_key: Option<QueueKey>,
     /// The ids of the targets to which it was sent, oldest first.
     pub tried: Vec<Name>,
     /// The target start to which it was last sent.
@@ -93,7 +93,7 @@
     /// Returns its sequence number among the requests that have been queued;
     /// `u64::MAX` if it never was.
     pub fn number(&self) -> u64 {
-        self.turn.map_or(u64::MAX, |(_, number)| number)
+        self.queue_key.map_or(u64::MAX, |(_, number)| number)
     }
 
     /// Returns its key in the queue of requests that can still meet their
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -119,8 +119,8 @@
 
     /// Returns how many waiting requests precede one that can meet its goal
     /// and has the key `turn`.
-    fn before(&self, turn: QueueKey) -> u32 {
-        self.in_time.range(..turn).count() as u32
+    fn before(&self, queue_key: QueueKey) -> u32 {
+        self.in_time.range(..queue_key).count() as u32
     }
 
     fn first_event_ms(&self, now_ms: u64) -> u64 {
@@ -159,11 +159,12 @@
         if !request.tried.is_empty() {
             return;
         }
-        if request.turn.is_none() {
+        if request.queue_key.is_none() {
             self.entered += 1;
         }
-        let number = request.turn.map_or(self.entered, |(_, number)| number);
-        let turn = match queue_kind {
+        let number =
+            request.queue_key.map_or(self.entered, |(_, number)| number);
+        let queue_key = match queue_kind {
             QueueKind::InTime => (goal_at_ms(request), number),
             QueueKind::NotQueued | QueueKind::Late => {
                 (request.arrived_ms, number)
@@ -171,9 +172,9 @@
         };
         let queue = self.queues.entry(request.service.name.clone());
         if let Some(turns) = queue.or_default().turns_mut(queue_kind) {
-            turns.insert(turn);
+            turns.insert(queue_key);
         }
-        request.turn = Some(turn);
+        request.queue_key = Some(queue_key);
     }
 
     /// Removes a request from its queue, if it is in one.
@@ -181,8 +182,8 @@
         let queue = self.queues.get_mut(&request.service.name);
         let turns =
             queue.and_then(|queue| queue.turns_mut(request.queue_kind));
-        if let (Some(turns), Some(turn)) = (turns, request.turn) {
-            turns.remove(&turn);
+        if let (Some(turns), Some(queue_key)) = (turns, request.queue_key) {
+            turns.remove(&queue_key);
         }
         request.queue_kind = QueueKind::NotQueued;
     }
@@ -195,7 +196,8 @@
         if !request.tried.is_empty() {
             return true;
         }
-        let is_other = |turn: &&QueueKey| Some(**turn) != request.turn;
+        let is_other =
+            |queue_key: &&QueueKey| Some(**queue_key) != request.queue_key;
         let first = queue.in_time.iter().find(is_other);
         match self.is_late(now_ms, request) {
             false => first.is_none_or(|first| {
@@ -298,8 +300,8 @@
         if request.last_event_ms.is_some() && situation.blocked_ms == 0 {
             return true;
         }
-        let turn = request.in_time_turn(goal_at_ms(request));
-        let ahead = queue.map_or(0, |queue| queue.before(turn));
+        let queue_key = request.in_time_turn(goal_at_ms(request));
+        let ahead = queue.map_or(0, |queue| queue.before(queue_key));
         let taken_ms = now_ms.saturating_sub(request.arrived_ms)
             + situation.blocked_ms
             + time_ms(ahead, situation.rate_per_s)
