--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -98,7 +98,7 @@
 
     /// Returns its key in the queue of requests that can still meet their
     /// goal.
-    pub fn in_time_turn(&self, goal_at_ms: u64) -> QueueKey {
+    pub fn in_time_key(&self, goal_at_ms: u64) -> QueueKey {
         (goal_at_ms, self.number())
     }
 
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -201,7 +201,7 @@
         let first = queue.in_time.iter().find(is_other);
         match self.is_late(now_ms, request) {
             false => first.is_none_or(|first| {
-                *first >= request.in_time_turn(goal_at_ms(request))
+                *first >= request.in_time_key(goal_at_ms(request))
             }),
             true => {
                 let own = (request.arrived_ms, request.number());
@@ -300,7 +300,7 @@
         if request.last_event_ms.is_some() && situation.blocked_ms == 0 {
             return true;
         }
-        let queue_key = request.in_time_turn(goal_at_ms(request));
+        let queue_key = request.in_time_key(goal_at_ms(request));
         let ahead = queue.map_or(0, |queue| queue.before(queue_key));
         let taken_ms = now_ms.saturating_sub(request.arrived_ms)
             + situation.blocked_ms
