--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -92,14 +92,14 @@
 
     /// Returns its sequence number among the requests that have been queued;
     /// `u64::MAX` if it never was.
-    pub fn number(&self) -> u64 {
+    pub fn queue_number(&self) -> u64 {
         self.queue_key.map_or(u64::MAX, |(_, number)| number)
     }
 
     /// Returns its key in the queue of requests that can still meet their
     /// goal.
     pub fn in_time_key(&self, goal_at_ms: u64) -> QueueKey {
-        (goal_at_ms, self.number())
+        (goal_at_ms, self.queue_number())
     }
 
     /// Returns when an answer that has begun must end, complete or not, on the
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -204,7 +204,7 @@
                 *first >= request.in_time_key(goal_at_ms(request))
             }),
             true => {
-                let own = (request.arrived_ms, request.number());
+                let own = (request.arrived_ms, request.queue_number());
                 first.is_none()
                     && queue.late.first().is_none_or(|first| *first >= own)
             }
