--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -4,7 +4,7 @@
 
 use super::{
     decaying_sum::DecayingSum,
-    quarantine::{Quarantine, Standing},
+    quarantine::{Permission, Quarantine},
     request::{
         ANSWER_MARGIN_MS, Admission, Dispatch, MIN_RETRY_AFTER_MS, Next,
         Obstacle, QueueKind, Refusal, RequestHead, refusal,
@@ -305,12 +305,12 @@
         let fingerprint = request.fingerprint?;
         let waited_ms = now_ms.saturating_sub(since_ms);
         let back_ms = match self.quarantine.standing(now_ms, fingerprint) {
-            Standing::Free => return None,
-            Standing::Waits if waited_ms < request.route.goal_ms => {
+            Permission::Free => return None,
+            Permission::Waits if waited_ms < request.route.goal_ms => {
                 return Some(Next::Wait(LOOK_AGAIN_MS));
             }
-            Standing::Waits => MIN_RETRY_AFTER_MS,
-            Standing::Kept(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
+            Permission::Waits => MIN_RETRY_AFTER_MS,
+            Permission::Kept(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
         };
         let mut refusal = self.give_up(request, Code::Quarantined);
         refusal.retry_after_ms = refusal.retry_after_ms.map(|_| back_ms);
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -106,7 +106,7 @@
 
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Permission {
     /// It may be sent.
     Free,
     /// It must wait until an earlier try ends, whose outcome decides.
@@ -180,17 +180,21 @@
     }
 
     /// Returns whether a request may be sent now.
-    pub fn standing(&self, now_ms: u64, fingerprint: Fingerprint) -> Standing {
+    pub fn standing(
+        &self,
+        now_ms: u64,
+        fingerprint: Fingerprint,
+    ) -> Permission {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
-            return Standing::Free;
+            return Permission::Free;
         };
         let losses = self.unexplained(fingerprint, suspect);
         let is_busy = self.is_busy(now_ms, fingerprint);
         if !is_culprit(&losses) {
             let is_guarded = losses.len() >= GUARDED_LOSSES;
             return match is_guarded && is_busy {
-                true => Standing::Waits,
-                false => Standing::Free,
+                true => Permission::Waits,
+                false => Permission::Free,
             };
         }
         let pause_ms = match losses.len() < SURE_LOSSES {
@@ -200,9 +204,9 @@
         let due_ms = suspect.last_ms() + pause_ms;
         let is_due = now_ms >= due_ms;
         match is_due && !is_busy && self.is_owner(fingerprint) {
-            true => Standing::Free,
-            false if is_due => Standing::Kept(TRIAL_PAUSE_MS),
-            false => Standing::Kept(due_ms - now_ms),
+            true => Permission::Free,
+            false if is_due => Permission::Kept(TRIAL_PAUSE_MS),
+            false => Permission::Kept(due_ms - now_ms),
         }
     }
 
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -9,7 +9,7 @@
 
 use raildale_core::gateway::{
     Fingerprint,
-    quarantine::{Quarantine, Standing},
+    quarantine::{Permission, Quarantine},
     target_end::StartId,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -255,12 +255,12 @@
     fn look(&mut self, mut one: Try, waited_ms: u64) {
         let known = &mut self.hosts[one.host];
         match known.standing(self.now_ms, one.request) {
-            Standing::Free => {}
-            Standing::Waits if waited_ms < GOAL_MS => {
+            Permission::Free => {}
+            Permission::Waits if waited_ms < GOAL_MS => {
                 let waited_ms = waited_ms + LOOK_MS;
                 return self.at(LOOK_MS, Event::Arrive(one, waited_ms));
             }
-            Standing::Waits | Standing::Kept(_) => {
+            Permission::Waits | Permission::Kept(_) => {
                 let is_new = self.kept.insert(one.request);
                 if !one.is_deadly && is_new {
                     self.seen.sound_kept += 1;
