--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -180,7 +180,7 @@
     }
 
     /// Returns whether a request may be sent now.
-    pub fn standing(
+    pub fn permission(
         &self,
         now_ms: u64,
         fingerprint: Fingerprint,
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -254,7 +254,7 @@
     /// Sends a request that has waited for so long, if it may be sent.
     fn look(&mut self, mut one: Try, waited_ms: u64) {
         let known = &mut self.hosts[one.host];
-        match known.standing(self.now_ms, one.request) {
+        match known.permission(self.now_ms, one.request) {
             Permission::Free => {}
             Permission::Waits if waited_ms < GOAL_MS => {
                 let waited_ms = waited_ms + LOOK_MS;
