--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -305,7 +305,7 @@
         let fingerprint = request.fingerprint?;
         let waited_ms = now_ms.saturating_sub(since_ms);
         let back_ms = match self.quarantine.permission(now_ms, fingerprint) {
-            Permission::Free => return None,
+            Permission::Allowed => return None,
             Permission::Waits if waited_ms < request.route.goal_ms => {
                 return Some(Next::Wait(LOOK_AGAIN_MS));
             }
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
     /// It may be sent.
-    Free,
+    Allowed,
     /// It must wait until an earlier try ends, whose outcome decides.
     Waits,
     /// It must not be sent; trying again is pointless for this many
@@ -186,7 +186,7 @@
         fingerprint: Fingerprint,
     ) -> Permission {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
-            return Permission::Free;
+            return Permission::Allowed;
         };
         let losses = self.unexplained(fingerprint, suspect);
         let is_busy = self.is_busy(now_ms, fingerprint);
@@ -194,7 +194,7 @@
             let is_guarded = losses.len() >= GUARDED_LOSSES;
             return match is_guarded && is_busy {
                 true => Permission::Waits,
-                false => Permission::Free,
+                false => Permission::Allowed,
             };
         }
         let pause_ms = match losses.len() < SURE_LOSSES {
@@ -204,7 +204,7 @@
         let due_ms = suspect.last_ms() + pause_ms;
         let is_due = now_ms >= due_ms;
         match is_due && !is_busy && self.is_owner(fingerprint) {
-            true => Permission::Free,
+            true => Permission::Allowed,
             false if is_due => Permission::Kept(TRIAL_PAUSE_MS),
             false => Permission::Kept(due_ms - now_ms),
         }
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -118,7 +118,7 @@
         known.note_broken(at_ms, sound(), StartId(number));
     }
     let later_ms = START_MS + 21 * APART_MS;
-    assert_eq!(known.permission(later_ms, sound()), Permission::Free);
+    assert_eq!(known.permission(later_ms, sound()), Permission::Allowed);
 }
 
 /// Where no agent stands beside a target, the next attempt finds nobody.
@@ -185,12 +185,12 @@
     assert!(is_kept(&known, now_ms, sound()), "not by the others");
     known.set_place(owner, count);
     assert!(is_kept(&known, now_ms - 2_000, sound()), "not at once");
-    assert_eq!(known.permission(now_ms, sound()), Permission::Free);
+    assert_eq!(known.permission(now_ms, sound()), Permission::Allowed);
     known.note_sent(sound());
     assert!(is_kept(&known, now_ms + 1, sound()), "one try at a time");
     known.note_over(sound());
     known.note_answered(now_ms + 900, sound());
-    assert_eq!(known.permission(now_ms + 901, sound()), Permission::Free);
+    assert_eq!(known.permission(now_ms + 901, sound()), Permission::Allowed);
     let news: Vec<bool> =
         known.take_news().iter().map(|n| n.is_culprit).collect();
     assert_eq!(news, [true, false]);
@@ -208,7 +208,7 @@
     }
     let now_ms = START_MS + 5 * APART_MS;
     assert!(is_kept(&known, now_ms, deadly()));
-    assert_eq!(known.permission(now_ms, sound()), Permission::Free);
+    assert_eq!(known.permission(now_ms, sound()), Permission::Allowed);
 }
 
 #[test]
@@ -216,7 +216,7 @@
     let mut known = Quarantine::new();
     let at_ms = end_apart(&mut known, 2, &[deadly()]);
     let now_ms = at_ms + APART_MS;
-    assert_eq!(known.permission(now_ms, deadly()), Permission::Free);
+    assert_eq!(known.permission(now_ms, deadly()), Permission::Allowed);
     known.note_sent(deadly());
     assert_eq!(known.permission(now_ms, deadly()), Permission::Waits);
     known.note_broken(now_ms, deadly(), StartId(9));
@@ -224,7 +224,7 @@
     let settling = known.permission(now_ms + 50, deadly());
     assert_eq!(settling, Permission::Waits, "its target may have ended");
     let later = known.permission(now_ms + 600, deadly());
-    assert_eq!(later, Permission::Free, "no sign came that it has");
+    assert_eq!(later, Permission::Allowed, "no sign came that it has");
 }
 
 /// Three entry hosts see one loss each.
@@ -340,7 +340,7 @@
     let mut now_ms = at_ms + LONG_MS;
     known.sweep(now_ms);
     for number in 0..20 {
-        assert_eq!(known.permission(now_ms, deadly()), Permission::Free);
+        assert_eq!(known.permission(now_ms, deadly()), Permission::Allowed);
         end(&mut known, now_ms, 100 + number, &[deadly()]);
         assert!(is_kept(&known, now_ms + APART_MS, deadly()));
         now_ms += LONG_MS;
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -255,7 +255,7 @@
     fn look(&mut self, mut one: Try, waited_ms: u64) {
         let known = &mut self.hosts[one.host];
         match known.permission(self.now_ms, one.request) {
-            Permission::Free => {}
+            Permission::Allowed => {}
             Permission::Waits if waited_ms < GOAL_MS => {
                 let waited_ms = waited_ms + LOOK_MS;
                 return self.at(LOOK_MS, Event::Arrive(one, waited_ms));
