--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -306,10 +306,10 @@
         let waited_ms = now_ms.saturating_sub(since_ms);
         let back_ms = match self.quarantine.permission(now_ms, fingerprint) {
             Permission::Allowed => return None,
-            Permission::Waits if waited_ms < request.route.goal_ms => {
+            Permission::Pending if waited_ms < request.route.goal_ms => {
                 return Some(Next::Wait(LOOK_AGAIN_MS));
             }
-            Permission::Waits => MIN_RETRY_AFTER_MS,
+            Permission::Pending => MIN_RETRY_AFTER_MS,
             Permission::Kept(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
         };
         let mut refusal = self.give_up(request, Code::Quarantined);
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -110,7 +110,7 @@
     /// It may be sent.
     Allowed,
     /// It must wait until an earlier try ends, whose outcome decides.
-    Waits,
+    Pending,
     /// It must not be sent; trying again is pointless for this many
     /// milliseconds.
     Kept(u64),
@@ -193,7 +193,7 @@
         if !is_culprit(&losses) {
             let is_guarded = losses.len() >= GUARDED_LOSSES;
             return match is_guarded && is_busy {
-                true => Permission::Waits,
+                true => Permission::Pending,
                 false => Permission::Allowed,
             };
         }
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -218,11 +218,11 @@
     let now_ms = at_ms + APART_MS;
     assert_eq!(known.permission(now_ms, deadly()), Permission::Allowed);
     known.note_sent(deadly());
-    assert_eq!(known.permission(now_ms, deadly()), Permission::Waits);
+    assert_eq!(known.permission(now_ms, deadly()), Permission::Pending);
     known.note_broken(now_ms, deadly(), StartId(9));
     known.note_over(deadly());
     let settling = known.permission(now_ms + 50, deadly());
-    assert_eq!(settling, Permission::Waits, "its target may have ended");
+    assert_eq!(settling, Permission::Pending, "its target may have ended");
     let later = known.permission(now_ms + 600, deadly());
     assert_eq!(later, Permission::Allowed, "no sign came that it has");
 }
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -256,11 +256,11 @@
         let known = &mut self.hosts[one.host];
         match known.permission(self.now_ms, one.request) {
             Permission::Allowed => {}
-            Permission::Waits if waited_ms < GOAL_MS => {
+            Permission::Pending if waited_ms < GOAL_MS => {
                 let waited_ms = waited_ms + LOOK_MS;
                 return self.at(LOOK_MS, Event::Arrive(one, waited_ms));
             }
-            Permission::Waits | Permission::Kept(_) => {
+            Permission::Pending | Permission::Kept(_) => {
                 let is_new = self.kept.insert(one.request);
                 if !one.is_deadly && is_new {
                     self.seen.sound_kept += 1;
