--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -310,7 +310,7 @@
                 return Some(Next::Wait(LOOK_AGAIN_MS));
             }
             Permission::Pending => MIN_RETRY_AFTER_MS,
-            Permission::Kept(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
+            Permission::Denied(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
         };
         let mut refusal = self.give_up(request, Code::Quarantined);
         refusal.retry_after_ms = refusal.retry_after_ms.map(|_| back_ms);
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -113,7 +113,7 @@
     Pending,
     /// It must not be sent; trying again is pointless for this many
     /// milliseconds.
-    Kept(u64),
+    Denied(u64),
 }
 
 /// A change of a fingerprint's status as a culprit.
@@ -205,8 +205,8 @@
         let is_due = now_ms >= due_ms;
         match is_due && !is_busy && self.is_owner(fingerprint) {
             true => Permission::Allowed,
-            false if is_due => Permission::Kept(TRIAL_PAUSE_MS),
-            false => Permission::Kept(due_ms - now_ms),
+            false if is_due => Permission::Denied(TRIAL_PAUSE_MS),
+            false => Permission::Denied(due_ms - now_ms),
         }
     }
 
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -61,7 +61,7 @@
 }
 
 fn is_kept(known: &Quarantine, now_ms: u64, of: Fingerprint) -> bool {
-    matches!(known.permission(now_ms, of), Permission::Kept(_))
+    matches!(known.permission(now_ms, of), Permission::Denied(_))
 }
 
 fn tell(from: &Quarantine, to: &mut Quarantine, now_ms: u64) {
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -260,7 +260,7 @@
                 let waited_ms = waited_ms + LOOK_MS;
                 return self.at(LOOK_MS, Event::Arrive(one, waited_ms));
             }
-            Permission::Pending | Permission::Kept(_) => {
+            Permission::Pending | Permission::Denied(_) => {
                 let is_new = self.kept.insert(one.request);
                 if !one.is_deadly && is_new {
                     self.seen.sound_kept += 1;
