--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -118,7 +118,7 @@
 
 /// A change of a fingerprint's status as a culprit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct CulpritChange {
     /// The fingerprint.
     pub fingerprint: Fingerprint,
     /// Whether it is a culprit now.
@@ -152,7 +152,7 @@
     broken: VecDeque<Broken>,
     ends: VecDeque<End>,
     in_flight: HashMap<Fingerprint, u32>,
-    news: Vec<News>,
+    news: Vec<CulpritChange>,
     /// Whether a loss is to be sent to other entry hosts at once.
     is_urgent: bool,
     /// The index of this entry host among those that are alive, and their
@@ -308,7 +308,7 @@
     }
 
     /// Returns the changes of culprits since the last call.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_news(&mut self) -> Vec<CulpritChange> {
         std::mem::take(&mut self.news)
     }
 
@@ -404,7 +404,7 @@
             .collect();
         for fingerprint in now.symmetric_difference(&self.culprits) {
             let suspect = self.suspects.get(fingerprint);
-            self.news.push(News {
+            self.news.push(CulpritChange {
                 fingerprint: *fingerprint,
                 is_culprit: now.contains(fingerprint),
                 losses: suspect.map_or(0, |s| s.losses().len()),
