--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -308,7 +308,7 @@
     }
 
     /// Returns the changes of culprits since the last call.
-    pub fn take_news(&mut self) -> Vec<CulpritChange> {
+    pub fn take_changes(&mut self) -> Vec<CulpritChange> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -192,7 +192,7 @@
     known.note_answered(now_ms + 900, sound());
     assert_eq!(known.permission(now_ms + 901, sound()), Permission::Allowed);
     let news: Vec<bool> =
-        known.take_news().iter().map(|n| n.is_culprit).collect();
+        known.take_changes().iter().map(|n| n.is_culprit).collect();
     assert_eq!(news, [true, false]);
 }
 
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -48,7 +48,7 @@
     /// now and not with the next heartbeat.
     pub fn note_suspects(&self) {
         let mut gateway = self.gateway.borrow_mut();
-        let news = gateway.quarantine.take_news();
+        let news = gateway.quarantine.take_changes();
         let is_urgent = gateway.quarantine.take_urgent();
         let most_losses = gateway.quarantine.most_losses() as u64;
         let culprits = gateway.quarantine.culprit_count() as u64;
