--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -89,7 +89,7 @@
     /// outcome.
     fn suspect(&mut self, now_ms: u64, request: &Admission, outcome: Outcome) {
         let Some(fingerprint) = request.fingerprint else { return };
-        self.quarantine.note_over(fingerprint);
+        self.quarantine.note_try_ended(fingerprint);
         let Some(start) = request.sent_to else { return };
         match outcome {
             Outcome::Broken => {
@@ -124,7 +124,7 @@
     ) {
         let outcome = Outcome::Withdrawn;
         self.targets.note_ended(now_ms, target, outcome, has_begun);
-        self.quarantine.note_over(fingerprint);
+        self.quarantine.note_try_ended(fingerprint);
     }
 
     /// Returns whether a request that has not begun at a target must be
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -226,7 +226,7 @@
     }
 
     /// Records that a try has ended with any outcome.
-    pub fn note_over(&mut self, fingerprint: Fingerprint) {
+    pub fn note_try_ended(&mut self, fingerprint: Fingerprint) {
         let Some(count) = self.in_flight.get_mut(&fingerprint) else { return };
         *count -= 1;
         if *count == 0 {
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -41,7 +41,7 @@
     for one in under {
         known.note_sent(*one);
         known.note_broken(at_ms, *one, StartId(start));
-        known.note_over(*one);
+        known.note_try_ended(*one);
     }
     known.note_end(at_ms + 100, StartId(start), at_ms + 100, TARGETS);
 }
@@ -188,7 +188,7 @@
     assert_eq!(known.permission(now_ms, sound()), Permission::Allowed);
     known.note_sent(sound());
     assert!(is_kept(&known, now_ms + 1, sound()), "one try at a time");
-    known.note_over(sound());
+    known.note_try_ended(sound());
     known.note_answered(now_ms + 900, sound());
     assert_eq!(known.permission(now_ms + 901, sound()), Permission::Allowed);
     let news: Vec<bool> =
@@ -220,7 +220,7 @@
     known.note_sent(deadly());
     assert_eq!(known.permission(now_ms, deadly()), Permission::Pending);
     known.note_broken(now_ms, deadly(), StartId(9));
-    known.note_over(deadly());
+    known.note_try_ended(deadly());
     let settling = known.permission(now_ms + 50, deadly());
     assert_eq!(settling, Permission::Pending, "its target may have ended");
     let later = known.permission(now_ms + 600, deadly());
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -319,7 +319,7 @@
         }
         running.remove(&number);
         let known = &mut self.hosts[one.host];
-        known.note_over(one.request);
+        known.note_try_ended(one.request);
         known.note_answered(self.now_ms, one.request);
     }
 
@@ -340,7 +340,7 @@
         }
         for one in broken.into_values() {
             let known = &mut self.hosts[one.host];
-            known.note_over(one.request);
+            known.note_try_ended(one.request);
             known.note_broken(self.now_ms, one.request, StartId(start));
             match one.attempts < ATTEMPTS {
                 true => self.arrive(one),
