--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -97,7 +97,7 @@
             }
             Outcome::NobodyThere => {
                 let of = self.targets.count(&request.service.name);
-                self.quarantine.note_nobody(now_ms, start, of);
+                self.quarantine.note_refused_connection(now_ms, start, of);
             }
             Outcome::Whole
             | Outcome::Refused
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -284,7 +284,12 @@
     /// Records that nothing listens at the address of a start, one of `of`
     /// targets of its service. The start has ended if an attempt broke off
     /// there shortly before; otherwise, it may not be up yet.
-    pub fn note_nobody(&mut self, now_ms: u64, start: StartId, of: u32) {
+    pub fn note_refused_connection(
+        &mut self,
+        now_ms: u64,
+        start: StartId,
+        of: u32,
+    ) {
         if self.broken.iter().any(|broken| broken.start == start) {
             self.note_end(now_ms, start, now_ms, of);
         }
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -127,9 +127,9 @@
     let mut known = Quarantine::new();
     for number in 0..3 {
         let at_ms = START_MS + number * APART_MS;
-        known.note_nobody(at_ms - 1, StartId(number), TARGETS);
+        known.note_refused_connection(at_ms - 1, StartId(number), TARGETS);
         known.note_broken(at_ms, deadly(), StartId(number));
-        known.note_nobody(at_ms + 20, StartId(number), TARGETS);
+        known.note_refused_connection(at_ms + 20, StartId(number), TARGETS);
     }
     assert!(is_kept(&known, START_MS + 3 * APART_MS, deadly()));
 }
