--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -323,7 +323,7 @@
         for end in &ends {
             let at_ms = end.at_ms.unwrap_or(now_ms);
             let of = self.targets.count(&end.service);
-            self.quarantine.note_end(now_ms, end.start, at_ms, of);
+            self.quarantine.note_start_ended(now_ms, end.start, at_ms, of);
         }
         ends
     }
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -253,7 +253,7 @@
     /// Records evidence, observed at `at_ms`, that a start has ended, one of
     /// `of` targets of its service. The start ended when the first attempt
     /// broke off there, if one did.
-    pub fn note_end(
+    pub fn note_start_ended(
         &mut self,
         now_ms: u64,
         start: StartId,
@@ -291,7 +291,7 @@
         of: u32,
     ) {
         if self.broken.iter().any(|broken| broken.start == start) {
-            self.note_end(now_ms, start, now_ms, of);
+            self.note_start_ended(now_ms, start, now_ms, of);
         }
     }
 
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -43,7 +43,7 @@
         known.note_broken(at_ms, *one, StartId(start));
         known.note_try_ended(*one);
     }
-    known.note_end(at_ms + 100, StartId(start), at_ms + 100, TARGETS);
+    known.note_start_ended(at_ms + 100, StartId(start), at_ms + 100, TARGETS);
 }
 
 /// Starts that end one after the other under some requests; returns when the
@@ -159,7 +159,7 @@
         for place in 0..targets {
             let told_ms = at_ms + 50 + place % 100;
             let start = StartId(cut * 1_000 + place);
-            known.note_end(told_ms, start, told_ms, targets as u32);
+            known.note_start_ended(told_ms, start, told_ms, targets as u32);
         }
     }
     let now_ms = START_MS + 20_000;
@@ -427,7 +427,7 @@
         for copy in 0..20 {
             let start = StartId(moment * 100 + copy);
             known.note_broken(at_ms, deadly(), start);
-            known.note_end(at_ms + 60, start, at_ms + 60, TARGETS);
+            known.note_start_ended(at_ms + 60, start, at_ms + 60, TARGETS);
         }
     }
     let now_ms = START_MS + 5 * APART_MS;
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -181,7 +181,7 @@
             Event::Sign { host, start, at_ms } => {
                 let known = &mut self.hosts[host];
                 let of = self.targets.len() as u32;
-                known.note_end(self.now_ms, StartId(start), at_ms, of);
+                known.note_start_ended(self.now_ms, StartId(start), at_ms, of);
                 if known.take_urgent() {
                     self.tell(host);
                 }
