--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -333,7 +333,7 @@
     }
 
     /// Returns the largest number of losses of any suspect, for the metrics.
-    pub fn most_losses(&self) -> usize {
+    pub fn max_losses(&self) -> usize {
         let losses = self.suspects.values().map(|s| s.losses().len());
         losses.max().unwrap_or(0)
     }
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -50,7 +50,7 @@
         let mut gateway = self.gateway.borrow_mut();
         let news = gateway.quarantine.take_changes();
         let is_urgent = gateway.quarantine.take_urgent();
-        let most_losses = gateway.quarantine.most_losses() as u64;
+        let most_losses = gateway.quarantine.max_losses() as u64;
         let culprits = gateway.quarantine.culprit_count() as u64;
         drop(gateway);
         self.metrics.set("suspect_losses_most", "", most_losses);
