--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -61,7 +61,7 @@
     }
 
     /// Merges a record from the store.
-    pub fn take_record(&mut self, now_ms: u64, unix_ms: u64, record: Record) {
+    pub fn merge_record(&mut self, now_ms: u64, unix_ms: u64, record: Record) {
         let losses = record.losses.into_iter().map(|(start, at_unix_ms)| {
             let age_ms = unix_ms.saturating_sub(at_unix_ms);
             ToldLoss { start: start.0, age_ms, is_cut: false }
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -287,7 +287,7 @@
     let mut after = Quarantine::new();
     let unix_ms = (UNIX_MS + 5_000).saturating_add_signed(clock_step_ms);
     for record in records {
-        after.take_record(START_MS, unix_ms, record);
+        after.merge_record(START_MS, unix_ms, record);
     }
     assert!(is_kept(&after, START_MS, deadly()));
     after.lift(START_MS + 10, deadly());
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -78,7 +78,7 @@
             return;
         };
         let mut gateway = self.gateway.borrow_mut();
-        gateway.quarantine.take_record(now_ms(), unix_ms(), record);
+        gateway.quarantine.merge_record(now_ms(), unix_ms(), record);
         drop(gateway);
         self.note_suspects();
     }
