--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -9,9 +9,9 @@
 //! * [`quota`]: this entry host's part of the requests within a limit.
 //! * `gossip`: exchange of notices between entry hosts.
 
+mod gossip;
 mod limit;
 pub mod quota;
-mod told;
 
 use std::collections::HashMap;
 
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -22,9 +22,9 @@
 //! * [`gossip`]: exchange of suspects between entry hosts.
 //! * [`record`]: culprits in the platform's store.
 
+pub mod gossip;
 pub mod record;
 pub mod suspect;
-pub mod told;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
