--- a/crates/raildale-core/src/gateway/notices/gossip.rs
+++ b/crates/raildale-core/src/gateway/notices/gossip.rs
@@ -40,7 +40,7 @@
     /// A limit that is known already is not made younger by a report: the
     /// message takes time, and two hosts that reported to each other would
     /// never let it age.
-    pub fn take_told(
+    pub fn merge_remote(
         &mut self,
         now_ms: u64,
         from: IpAddr,
--- a/crates/raildale-core/src/gateway/quarantine/gossip.rs
+++ b/crates/raildale-core/src/gateway/quarantine/gossip.rs
@@ -29,7 +29,7 @@
     }
 
     /// Merges suspects received from another entry host.
-    pub fn take_told(&mut self, now_ms: u64, told: Vec<ToldSuspect>) {
+    pub fn merge_remote(&mut self, now_ms: u64, told: Vec<ToldSuspect>) {
         let mut is_news = false;
         for suspect in told {
             is_news |= self.merge(now_ms, suspect);
--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -72,6 +72,6 @@
             losses: losses.collect(),
             cleared_age_ms: None,
         };
-        self.take_told(now_ms, vec![told]);
+        self.merge_remote(now_ms, vec![told]);
     }
 }
--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -99,7 +99,7 @@
     }
 
     /// Merges departures received from another entry host.
-    pub fn take_told(&mut self, now_ms: u64, told: Vec<ToldDeparture>) {
+    pub fn merge_remote(&mut self, now_ms: u64, told: Vec<ToldDeparture>) {
         for one in told {
             let start = StartId(one.start);
             let departure = Departure {
--- a/crates/raildale-core/tests/notices_world/mod.rs
+++ b/crates/raildale-core/tests/notices_world/mod.rs
@@ -267,7 +267,7 @@
                 let others = told.iter().filter(|_| from != host);
                 let notices = &mut self.hosts[*host].targets.notices;
                 for one in others {
-                    notices.take_told(now_ms, ip, one);
+                    notices.merge_remote(now_ms, ip, one);
                 }
             }
         }
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -65,7 +65,7 @@
 }
 
 fn tell(from: &Quarantine, to: &mut Quarantine, now_ms: u64) {
-    to.take_told(now_ms, from.told(now_ms));
+    to.merge_remote(now_ms, from.told(now_ms));
 }
 
 #[parameterized(
@@ -242,7 +242,7 @@
         hosts.iter().map(|host| host.told(now_ms)).collect();
     for host in &mut hosts {
         for told in &told {
-            host.take_told(now_ms, told.clone());
+            host.merge_remote(now_ms, told.clone());
         }
         assert!(is_kept(host, now_ms, deadly()));
     }
@@ -261,7 +261,7 @@
         now_ms += APART_MS;
         let survivor = (sees + 5) % 10;
         let told = hosts[sees].told(now_ms);
-        hosts[survivor].take_told(now_ms, told);
+        hosts[survivor].merge_remote(now_ms, told);
         for (place, host) in hosts.iter_mut().enumerate() {
             if place != survivor {
                 *host = Quarantine::new();
@@ -269,7 +269,7 @@
         }
         let told = hosts[survivor].told(now_ms);
         for host in &mut hosts {
-            host.take_told(now_ms, told.clone());
+            host.merge_remote(now_ms, told.clone());
         }
     }
     for host in &hosts {
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -372,7 +372,7 @@
                 loss.age_ms += way_ms;
             }
             if way_ms == NEAR_MS || self.rng.random_range(0..2) == 0 {
-                self.hosts[host].take_told(now_ms + way_ms, told);
+                self.hosts[host].merge_remote(now_ms + way_ms, told);
             }
         }
     }
--- a/crates/raildale-core/tests/target_leaving.rs
+++ b/crates/raildale-core/tests/target_leaving.rs
@@ -322,7 +322,7 @@
             is_leaving: true,
             ..ToldNotice::default()
         };
-        gateway.targets.notices.take_told(START_MS, from, &told);
+        gateway.targets.notices.merge_remote(START_MS, from, &told);
         let to = goes_to(&mut gateway, START_MS, "/");
         match number {
             0 => assert_eq!(to.as_deref(), Some("t1")),
--- a/crates/raildale-core/tests/target_limit.rs
+++ b/crates/raildale-core/tests/target_limit.rs
@@ -174,7 +174,7 @@
     assert_eq!(news, []);
     let told = ToldNotice { start: 7, age_ms: 500, ..ToldNotice::default() };
     let from = IpAddr::from([10, 1, 0, 1]);
-    notices.take_told(now_ms + 20, from, &told);
+    notices.merge_remote(now_ms + 20, from, &told);
     assert_eq!(notices.limit_per_s(start), Some(2.0));
     let news = notices.note(now_ms + 100, start, now_ms + 30, silent);
     assert_eq!(news, [NoticeNews::Higher]);
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -59,7 +59,7 @@
         let now = now_ms();
         for one in told {
             let mut gateway = self.gateway.borrow_mut();
-            let news = gateway.targets.notices.take_told(now, from, &one);
+            let news = gateway.targets.notices.merge_remote(now, from, &one);
             drop(gateway);
             let notice = TargetNotice {
                 limit_per_s: one.limit_per_s,
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -95,7 +95,7 @@
             return;
         }
         let targets = &mut self.gateway.borrow_mut().targets;
-        targets.departed.take_told(now_ms(), told);
+        targets.departed.merge_remote(now_ms(), told);
         let listed = targets.iter().map(|target| {
             (target.spec.id.clone(), target.start, target.spec.stamp)
         });
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -39,7 +39,7 @@
             return;
         }
         let mut gateway = self.gateway.borrow_mut();
-        gateway.quarantine.take_told(now_ms(), told);
+        gateway.quarantine.merge_remote(now_ms(), told);
         drop(gateway);
         self.note_suspects();
     }
