--- a/crates/raildale-core/src/gateway/notices/gossip.rs
+++ b/crates/raildale-core/src/gateway/notices/gossip.rs
@@ -18,7 +18,7 @@
     /// They include limits received from others, so that a limit outlasts the
     /// hosts that heard it. That a start is leaving is sent only by the hosts
     /// that it told.
-    pub fn told(&self, now_ms: u64) -> Vec<ToldNotice> {
+    pub fn outgoing(&self, now_ms: u64) -> Vec<ToldNotice> {
         let mut due: Vec<(&StartId, &Known)> =
             self.by_start.iter().filter(|(_, k)| is_due(now_ms, k)).collect();
         due.sort_unstable_by_key(|(start, known)| {
--- a/crates/raildale-core/src/gateway/quarantine/gossip.rs
+++ b/crates/raildale-core/src/gateway/quarantine/gossip.rs
@@ -14,7 +14,7 @@
     /// Returns the suspects to send to other entry hosts, those with the most
     /// losses first. They include suspects received from others, so that the
     /// information outlasts the hosts that observed the losses.
-    pub fn told(&self, now_ms: u64) -> Vec<ToldSuspect> {
+    pub fn outgoing(&self, now_ms: u64) -> Vec<ToldSuspect> {
         let mut ranked: Vec<(Rank, &Fingerprint, &Suspect)> = self
             .suspects
             .iter()
--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -82,7 +82,7 @@
 
     /// Returns all departures in the form in which they are sent to other
     /// entry hosts.
-    pub fn told(&self, now_ms: u64) -> Vec<ToldDeparture> {
+    pub fn outgoing(&self, now_ms: u64) -> Vec<ToldDeparture> {
         let told = |(start, departure): (&StartId, &Departure)| {
             let Stamp { era, revision } = departure.gone;
             let age_ms = now_ms.saturating_sub(departure.at_ms);
--- a/crates/raildale-core/tests/departed.rs
+++ b/crates/raildale-core/tests/departed.rs
@@ -41,7 +41,7 @@
     let mut departed = departed();
     departed.note_listed(LEFT, Stamp::new(2, 5));
     let mut other = Departed::default();
-    other.merge_remote(START_MS, departed.told(START_MS));
+    other.merge_remote(START_MS, departed.outgoing(START_MS));
     assert!(other.note_listed(LEFT, Stamp::new(2, 5)));
     assert!(!other.note_listed(LEFT, Stamp::new(2, 6)), "written again");
 }
--- a/crates/raildale-core/tests/notices_world/mod.rs
+++ b/crates/raildale-core/tests/notices_world/mod.rs
@@ -259,7 +259,7 @@
     fn exchange(&mut self, now_ms: u64, heard: &[usize]) {
         let told: Vec<_> = heard
             .iter()
-            .map(|host| self.hosts[*host].targets.notices.told(now_ms))
+            .map(|host| self.hosts[*host].targets.notices.outgoing(now_ms))
             .collect();
         for host in heard {
             for (from, told) in heard.iter().zip(&told) {
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -65,7 +65,7 @@
 }
 
 fn tell(from: &Quarantine, to: &mut Quarantine, now_ms: u64) {
-    to.merge_remote(now_ms, from.told(now_ms));
+    to.merge_remote(now_ms, from.outgoing(now_ms));
 }
 
 #[parameterized(
@@ -165,7 +165,7 @@
     let now_ms = START_MS + 20_000;
     let kept = requests.iter().filter(|r| is_kept(&known, now_ms, **r));
     assert_eq!(kept.count(), 0);
-    assert_eq!(known.told(now_ms).len(), 0, "nor is it told");
+    assert_eq!(known.outgoing(now_ms).len(), 0, "nor is it told");
 }
 
 /// A popular request runs on every target as some of them end: that is one
@@ -239,7 +239,7 @@
     }
     let now_ms = START_MS + 3 * APART_MS;
     let told: Vec<Vec<ToldSuspect>> =
-        hosts.iter().map(|host| host.told(now_ms)).collect();
+        hosts.iter().map(|host| host.outgoing(now_ms)).collect();
     for host in &mut hosts {
         for told in &told {
             host.merge_remote(now_ms, told.clone());
@@ -260,14 +260,14 @@
         end(&mut hosts[sees], now_ms, loss, &[deadly()]);
         now_ms += APART_MS;
         let survivor = (sees + 5) % 10;
-        let told = hosts[sees].told(now_ms);
+        let told = hosts[sees].outgoing(now_ms);
         hosts[survivor].merge_remote(now_ms, told);
         for (place, host) in hosts.iter_mut().enumerate() {
             if place != survivor {
                 *host = Quarantine::new();
             }
         }
-        let told = hosts[survivor].told(now_ms);
+        let told = hosts[survivor].outgoing(now_ms);
         for host in &mut hosts {
             host.merge_remote(now_ms, told.clone());
         }
@@ -361,7 +361,7 @@
         now_ms += 50;
     }
     assert!(is_kept(&known, now_ms, deadly()));
-    assert!(known.told(now_ms).len() <= 24, "a heartbeat stays small");
+    assert!(known.outgoing(now_ms).len() <= 24, "a heartbeat stays small");
 }
 
 /// A record is written again for what makes its culprit sure, and for a loss
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -360,7 +360,7 @@
 
     fn tell(&mut self, from: usize) {
         let now_ms = self.now_ms;
-        let told = self.hosts[from].told(now_ms);
+        let told = self.hosts[from].outgoing(now_ms);
         if told.is_empty() {
             return;
         }
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -85,7 +85,7 @@
 
     /// Starts of targets that have left the list, for another entry host.
     pub fn departed(&self) -> Vec<ToldDeparture> {
-        self.gateway.borrow().targets.departed.told(now_ms())
+        self.gateway.borrow().targets.departed.outgoing(now_ms())
     }
 
     /// Takes in which starts have left the list, as another entry host tells;
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -300,8 +300,8 @@
         versions_heard_age_ms: versions_heard_ms
             .map(|heard_ms| now.saturating_sub(heard_ms)),
         demand_per_s: host.gateway.borrow().demand_per_s(now) as f32,
-        suspects: host.gateway.borrow().quarantine.told(now),
-        notices: host.gateway.borrow().targets.notices.told(now),
+        suspects: host.gateway.borrow().quarantine.outgoing(now),
+        notices: host.gateway.borrow().targets.notices.outgoing(now),
         ..Hello::default()
     };
     hello.with_extents(&extents)
