--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -247,7 +247,11 @@
     /// Handles an agent's report of `at_ms` that came in a digest; it is
     /// ignored unless it is newer than the last one. Returns whether the
     /// target has stopped answering since the previous report.
-    pub fn note_told(&mut self, at_ms: u64, report: TargetReport) -> bool {
+    pub fn note_relayed_report(
+        &mut self,
+        at_ms: u64,
+        report: TargetReport,
+    ) -> bool {
         let known = self.report.as_ref();
         if known.is_some_and(|(known_ms, ..)| *known_ms >= at_ms) {
             return false;
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -280,14 +280,14 @@
 
     /// Handles a report in a digest on the target at `address`, which its
     /// agent made at `at_ms`.
-    pub fn note_told(
+    pub fn note_relayed_report(
         &mut self,
         at_ms: u64,
         address: SocketAddr,
         report: TargetReport,
     ) {
         let Some(target) = self.at_address(address) else { return };
-        if target.note_told(at_ms, report) {
+        if target.note_relayed_report(at_ms, report) {
             let end = target.end(Some(at_ms), EndSign::Unanswered);
             self.ended.push(end);
         }
--- a/crates/raildale-core/tests/gateway.rs
+++ b/crates/raildale-core/tests/gateway.rs
@@ -849,13 +849,13 @@
         (report, target.heard_report(START_MS).is_some())
     };
     let told = |running| TargetReport { running, ..report(1) };
-    gateway.targets.note_told(START_MS - 700, address, told(5));
+    gateway.targets.note_relayed_report(START_MS - 700, address, told(5));
     assert_eq!(running(&gateway), (Some(5), false), "by digest only");
     gateway.targets.note_report(START_MS - 200, address, told(1));
     assert_eq!(running(&gateway), (Some(1), true));
-    gateway.targets.note_told(START_MS - 300, address, told(7));
+    gateway.targets.note_relayed_report(START_MS - 300, address, told(7));
     assert_eq!(running(&gateway), (Some(1), true), "older");
-    gateway.targets.note_told(START_MS - 100, address, told(9));
+    gateway.targets.note_relayed_report(START_MS - 100, address, told(9));
     assert_eq!(running(&gateway), (Some(9), false), "newer");
 }
 
@@ -868,7 +868,7 @@
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let every_ms = 800;
     let told = TargetReport { every_ms, ..report(1) };
-    gateway.targets.note_told(START_MS, address, told);
+    gateway.targets.note_relayed_report(START_MS, address, told);
     let is_silent = |now_ms| {
         let target = gateway.targets.get("t").expect("it is listed");
         target.is_silent(now_ms)
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -292,7 +292,7 @@
             Event::Digest(centre) => self.digest(centre),
             Event::Told { host, target, at_ms, report } => {
                 let targets = &mut self.hosts[host].gateway.targets;
-                targets.note_told(at_ms, address(target), report);
+                targets.note_relayed_report(at_ms, address(target), report);
             }
             Event::Drain(target) => {
                 self.targets[target].is_accepting = false;
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -131,7 +131,7 @@
         let mut report = wire.target_report(now);
         report.round_trip_ms = told.round_trip_ms + digest.round_trip_ms;
         let at_ms = now.saturating_sub(told.age_ms);
-        gateway.targets.note_told(at_ms, address, report);
+        gateway.targets.note_relayed_report(at_ms, address, report);
     }
     drop(gateway);
     host.note_ends();
