--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -276,7 +276,7 @@
 
     /// Returns the last report and its age in milliseconds, if it came from
     /// the agent itself and is fresh.
-    pub fn heard_report(&self, now_ms: u64) -> Option<(&TargetReport, u64)> {
+    pub fn direct_report(&self, now_ms: u64) -> Option<(&TargetReport, u64)> {
         let (at_ms, report, _) = self.report.as_ref()?;
         let age_ms = now_ms.saturating_sub(*at_ms);
         let is_fresh = age_ms < REPORT_FRESH_MS && self.is_heard;
--- a/crates/raildale-core/tests/gateway.rs
+++ b/crates/raildale-core/tests/gateway.rs
@@ -846,7 +846,7 @@
     let running = |gateway: &Gateway| {
         let target = gateway.targets.get("t").expect("it is listed");
         let report = target.report(START_MS).map(|report| report.running);
-        (report, target.heard_report(START_MS).is_some())
+        (report, target.direct_report(START_MS).is_some())
     };
     let told = |running| TargetReport { running, ..report(1) };
     gateway.targets.note_relayed_report(START_MS - 700, address, told(5));
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -71,7 +71,7 @@
     let now = now_ms();
     let gateway = host.gateway.borrow();
     let heard = gateway.targets.iter().filter_map(|target| {
-        let (report, age_ms) = target.heard_report(now)?;
+        let (report, age_ms) = target.direct_report(now)?;
         let mut told = Report::of(target.spec.address, report);
         told.every_ms = DIGEST_EVERY_MS;
         let round_trip_ms = report.round_trip_ms;
