--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -434,7 +434,7 @@
 
     /// Returns whether the path to its machine is slow or its agent is silent.
     pub fn is_slow(&self, now_ms: u64) -> bool {
-        self.worst_way_ms(now_ms) > SLOW_WAY_MS
+        self.worst_round_trip_ms(now_ms) > SLOW_WAY_MS
     }
 
     /// Returns whether the path to its machine is presumed slow: a recent
@@ -455,7 +455,7 @@
 
     /// Returns the longest recent round-trip time to its machine in
     /// milliseconds.
-    pub fn worst_way_ms(&self, now_ms: u64) -> u64 {
+    pub fn worst_round_trip_ms(&self, now_ms: u64) -> u64 {
         let (worst_ms, at_ms) = self.worst_way;
         let is_over = now_ms >= at_ms + WORST_WAY_FOR_MS;
         let worst_ms = if is_over { 0 } else { worst_ms };
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -522,7 +522,7 @@
     bounds: &[VersionBound],
 ) -> bool {
     let Some(serves) = target.serves_version(now_ms) else { return false };
-    let worst_ms = target.worst_way_ms(now_ms);
+    let worst_ms = target.worst_round_trip_ms(now_ms);
     let is_slow = target.is_slow(now_ms);
     bounds.iter().filter(|bound| bound.version > serves).all(|bound| {
         let is_near = bound.left_ms < NEAR_BOUND_MS;
