--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -445,7 +445,7 @@
     /// Silence is no sign of a fast path: a link that is congested during a
     /// fill may delay reports and requests alike for seconds. No benefit of
     /// counting silence as slow was measured.
-    pub fn was_way_slow(&self, now_ms: u64) -> bool {
+    pub fn is_path_presumed_slow(&self, now_ms: u64) -> bool {
         let (worst_ms, at_ms) = self.worst_way;
         let is_known =
             worst_ms > SLOW_WAY_MS && now_ms < at_ms + WORST_WAY_FOR_MS;
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -433,7 +433,8 @@
         let fitting = move || {
             fitting().filter(move |target| !has_staying || stays(target))
         };
-        let is_quick = move |target: &&Target| !target.was_way_slow(now_ms);
+        let is_quick =
+            move |target: &&Target| !target.is_path_presumed_slow(now_ms);
         let has_quick = fitting().any(|target| is_quick(&target));
         fitting()
             .filter(move |target| !has_quick || is_quick(target))
