--- a/crates/raildale-core/src/gateway/shares.rs
+++ b/crates/raildale-core/src/gateway/shares.rs
@@ -6,7 +6,7 @@
 //! All compute the same parts from the demand in heartbeats: each host gets
 //! slots in proportion to its demand, first those in its own data centre.
 
-use super::{notices::quota::OwnPart, target::Rivals};
+use super::{notices::quota::OwnPart, target::Competitors};
 use crate::Name;
 
 /// An entry host that sends to targets.
@@ -48,11 +48,11 @@
 
     /// Returns the entry hosts that compete for the targets of a data centre:
     /// those in it if this host is there as well, else all.
-    pub fn rivals(&self, data_centre: &str) -> Rivals {
+    pub fn rivals(&self, data_centre: &str) -> Competitors {
         let own = self.senders.get(self.own);
         let is_near = own.is_some_and(|own| *own.data_centre == *data_centre);
         let count = if is_near { self.near_count } else { self.senders.len() };
-        Rivals { count, own_place: self.own }
+        Competitors { count, own_place: self.own }
     }
 
     /// Returns this entry host's part of the slots of each data centre.
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -64,7 +64,7 @@
 
 /// The entry hosts that compete for a target.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rivals {
+pub struct Competitors {
     /// The number of entry hosts, this one included.
     pub count: usize,
     /// The index of this entry host in their common order.
@@ -417,7 +417,7 @@
         now_ms: u64,
         senders: f64,
         spare: f64,
-        rivals: Rivals,
+        rivals: Competitors,
     ) -> bool {
         if self.report.is_none() {
             return true;
