--- a/crates/raildale-core/src/gateway/shares.rs
+++ b/crates/raildale-core/src/gateway/shares.rs
@@ -48,7 +48,7 @@
 
     /// Returns the entry hosts that compete for the targets of a data centre:
     /// those in it if this host is there as well, else all.
-    pub fn rivals(&self, data_centre: &str) -> Competitors {
+    pub fn competitors(&self, data_centre: &str) -> Competitors {
         let own = self.senders.get(self.own);
         let is_near = own.is_some_and(|own| *own.data_centre == *data_centre);
         let count = if is_near { self.near_count } else { self.senders.len() };
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -417,7 +417,7 @@
         now_ms: u64,
         senders: f64,
         spare: f64,
-        rivals: Competitors,
+        competitors: Competitors,
     ) -> bool {
         if self.report.is_none() {
             return true;
@@ -428,8 +428,8 @@
         }
         let slots = f64::from(self.spec.slots) + spare;
         let free = slots - self.load(now_ms, senders);
-        let lot = (self.lot + rivals.own_place as f64 * LOT_STEP).fract();
-        free > lot * rivals.count as f64
+        let lot = (self.lot + competitors.own_place as f64 * LOT_STEP).fract();
+        free > lot * competitors.count as f64
     }
 
     /// Returns whether the path to its machine is slow or its agent is silent.
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -493,8 +493,8 @@
             (false, false) if target.has_own_room(now_ms) => return true,
             (false, false) => -LENT_FREE_SHARE * slots,
         };
-        let rivals = self.shares.rivals(&target.spec.data_centre);
-        target.has_lent_room(now_ms, self.alike(), spare, rivals)
+        let competitors = self.shares.competitors(&target.spec.data_centre);
+        target.has_lent_room(now_ms, self.alike(), spare, competitors)
     }
 
     fn cost_for(&self, target: &Target, now_ms: u64, need: Need<'_>) -> f64 {
