--- a/crates/raildale-core/src/gateway/shares.rs
+++ b/crates/raildale-core/src/gateway/shares.rs
@@ -52,7 +52,7 @@
         let own = self.senders.get(self.own);
         let is_near = own.is_some_and(|own| *own.data_centre == *data_centre);
         let count = if is_near { self.near_count } else { self.senders.len() };
-        Competitors { count, own_place: self.own }
+        Competitors { count, own_index: self.own }
     }
 
     /// Returns this entry host's part of the slots of each data centre.
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -68,7 +68,7 @@
     /// The number of entry hosts, this one included.
     pub count: usize,
     /// The index of this entry host in their common order.
-    pub own_place: usize,
+    pub own_index: usize,
 }
 
 /// How an attempt ended at a target.
@@ -428,7 +428,7 @@
         }
         let slots = f64::from(self.spec.slots) + spare;
         let free = slots - self.load(now_ms, senders);
-        let lot = (self.lot + competitors.own_place as f64 * LOT_STEP).fract();
+        let lot = (self.lot + competitors.own_index as f64 * LOT_STEP).fract();
         free > lot * competitors.count as f64
     }
 
