--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -101,7 +101,7 @@
     /// The number of requests that this process has in flight there.
     pub in_flight: u32,
     /// The number of those that have not begun. Their prompts are read first.
-    pub unbegun: u32,
+    pub not_begun: u32,
     /// The number of slots that this entry host owns there.
     pub own_slots: u32,
     report: Option<(u64, TargetReport, u32)>,
@@ -208,7 +208,7 @@
             start: StartId::of(&spec),
             spec,
             in_flight: 0,
-            unbegun: 0,
+            not_begun: 0,
             own_slots: 0,
             report: None,
             is_heard: false,
@@ -390,7 +390,7 @@
     /// at once is late however many slots are free.
     pub fn may_read_another(&self) -> bool {
         let most = f64::from(self.own_slots) * READING_SHARE;
-        self.unbegun < (most as u32).max(1)
+        self.not_begun < (most as u32).max(1)
     }
 
     /// Returns whether a request would begin there (almost) at once in a slot
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -318,14 +318,14 @@
     pub fn note_sent(&mut self, id: &str) {
         if let Some(target) = self.by_id.get_mut(id) {
             target.in_flight += 1;
-            target.unbegun += 1;
+            target.not_begun += 1;
         }
     }
 
     /// Records that a request has begun at a target.
     pub fn note_begun(&mut self, id: &str) {
         if let Some(target) = self.by_id.get_mut(id) {
-            target.unbegun = target.unbegun.saturating_sub(1);
+            target.not_begun = target.not_begun.saturating_sub(1);
         }
     }
 
