--- a/crates/raildale-core/src/gateway/event_stream.rs
+++ b/crates/raildale-core/src/gateway/event_stream.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether bytes of an incomplete event are buffered.
-    pub fn is_torn(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/crates/raildale-core/tests/event_stream.rs
+++ b/crates/raildale-core/tests/event_stream.rs
@@ -24,7 +24,7 @@
     }
     assert_eq!(out, STREAM);
     assert_eq!(splitter.last_id(), Some("3"));
-    assert!(!splitter.is_torn());
+    assert!(!splitter.has_partial());
 }
 
 #[test]
@@ -34,7 +34,7 @@
     let whole = splitter.push(torn).expect("one event is whole");
     assert_eq!(&whole[..], b"id: 1\ndata: a\n\n");
     assert_eq!(splitter.last_id(), Some("1"));
-    assert!(splitter.is_torn());
+    assert!(splitter.has_partial());
     splitter.drop_torn();
     let next = splitter.push(Bytes::from_static(b"id: 2\ndata: b\n\n"));
     assert_eq!(next.as_deref(), Some(&b"id: 2\ndata: b\n\n"[..]));
--- a/crates/raildale/src/fleet/entry/attempt.rs
+++ b/crates/raildale/src/fleet/entry/attempt.rs
@@ -70,7 +70,7 @@
             let data = match self.response.body_mut().frame().await {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 Some(Err(_)) => return false,
-                None => return !splitter.is_torn(),
+                None => return !splitter.has_partial(),
             };
             self.begun.extend_from_slice(&data);
             if splitter.push(data).is_some() {
--- a/crates/raildale/src/fleet/entry/stream_body.rs
+++ b/crates/raildale/src/fleet/entry/stream_body.rs
@@ -108,7 +108,7 @@
                         return Some(Ok(whole));
                     }
                 }
-                Piece::End if self.splitter.is_torn() => {
+                Piece::End if self.splitter.has_partial() => {
                     if let Some(failure) = self.go_on(Cause::Target).await {
                         return Some(Err(failure));
                     }
@@ -157,10 +157,10 @@
                 has_begun: true,
                 resume_after: self.splitter.last_id(),
             };
-            let is_torn = self.splitter.is_torn();
+            let has_partial = self.splitter.has_partial();
             let is_good = |frame: &Option<Result<_, _>>| match frame {
                 Some(frame) => frame.is_ok(),
-                None => !is_torn,
+                None => !has_partial,
             };
             let frame = self.body.frame();
             match self.exchange.hedge(watched, frame, is_good).await {
