--- a/crates/raildale-core/src/gateway/event_stream.rs
+++ b/crates/raildale-core/src/gateway/event_stream.rs
@@ -51,7 +51,7 @@
 
     /// Discards the buffered bytes, for a stream that is resumed with another
     /// run.
-    pub fn drop_torn(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
--- a/crates/raildale-core/tests/event_stream.rs
+++ b/crates/raildale-core/tests/event_stream.rs
@@ -35,7 +35,7 @@
     assert_eq!(&whole[..], b"id: 1\ndata: a\n\n");
     assert_eq!(splitter.last_id(), Some("1"));
     assert!(splitter.has_partial());
-    splitter.drop_torn();
+    splitter.discard_partial();
     let next = splitter.push(Bytes::from_static(b"id: 2\ndata: b\n\n"));
     assert_eq!(next.as_deref(), Some(&b"id: 2\ndata: b\n\n"[..]));
 }
--- a/crates/raildale/src/fleet/entry/stream_body.rs
+++ b/crates/raildale/src/fleet/entry/stream_body.rs
@@ -196,7 +196,7 @@
     }
 
     fn take_up(&mut self, from: &str, opened: Opened<P>) {
-        self.splitter.drop_torn();
+        self.splitter.discard_partial();
         self.body = opened.response.into_body();
         self.attempt = opened.attempt;
         self.begun = opened.begun.freeze();
