--- a/crates/raildale-core/src/gateway/event_stream.rs
+++ b/crates/raildale-core/src/gateway/event_stream.rs
@@ -45,7 +45,7 @@
     }
 
     /// Removes and returns the buffered bytes, for a stream that has ended.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
