--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -62,7 +62,7 @@
 
     /// Handles the end of an attempt. Returns whether the request may be sent
     /// again.
-    pub fn ended(
+    pub fn on_attempt_ended(
         &mut self,
         now_ms: u64,
         request: &mut Admission,
--- a/crates/raildale-core/tests/gateway.rs
+++ b/crates/raildale-core/tests/gateway.rs
@@ -341,7 +341,7 @@
 ) {
     let mut gateway = gateway();
     let mut request = admit(&mut gateway, path);
-    let may = gateway.ended(START_MS, &mut request, "t", outcome);
+    let may = gateway.on_attempt_ended(START_MS, &mut request, "t", outcome);
     assert_eq!(may, again);
 }
 
@@ -350,7 +350,12 @@
     let mut gateway = gateway();
     gateway.targets.put(target("t", "plain", 1, None));
     let mut request = admit(&mut gateway, "/x");
-    gateway.ended(START_MS, &mut request, "t", Outcome::Misdirected);
+    gateway.on_attempt_ended(
+        START_MS,
+        &mut request,
+        "t",
+        Outcome::Misdirected,
+    );
     let mut other = admit(&mut gateway, "/x");
     let next = gateway.next(START_MS, &mut other, START_MS, 0);
     assert_eq!(sent(next), None, "no second attempt is wasted there");
@@ -363,7 +368,7 @@
 fn what_may_have_run_is_never_called_not_run() {
     let mut gateway = gateway();
     let mut request = admit(&mut gateway, "/once/");
-    gateway.ended(START_MS, &mut request, "t", Outcome::Broken);
+    gateway.on_attempt_ended(START_MS, &mut request, "t", Outcome::Broken);
     for code in [Code::NoTarget, Code::DeadlinePassed, Code::TargetBusy] {
         let refusal = gateway.give_up(&request, code);
         assert_eq!(refusal.code, Code::Unknown);
@@ -385,7 +390,12 @@
     for _ in 0..2 {
         let next = gateway.next(START_MS, &mut request, START_MS, 0);
         let id = sent(next).expect("an attempt is left");
-        gateway.ended(START_MS, &mut request, &id, Outcome::Refused);
+        gateway.on_attempt_ended(
+            START_MS,
+            &mut request,
+            &id,
+            Outcome::Refused,
+        );
     }
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
     let Next::Refuse(refusal) = next else { panic!("a third attempt") };
@@ -515,7 +525,7 @@
         let next = gateway.next(START_MS, &mut served, START_MS, 0);
         let id = sent(next).expect("there is room");
         gateway.note_begun(START_MS, &mut served, &id, first_event_ms);
-        gateway.ended(START_MS, &mut served, &id, Outcome::Whole);
+        gateway.on_attempt_ended(START_MS, &mut served, &id, Outcome::Whole);
     }
     let mut request = admit(&mut gateway, "/deep/");
     let later_ms = START_MS + waited_ms;
@@ -963,7 +973,7 @@
         gateway.targets.note_report(now_ms, address, report(1));
         let next = gateway.next(now_ms, request, now_ms, 0);
         assert_eq!(sent(next).as_deref(), Some(&*id));
-        gateway.ended(now_ms, request, &id, Outcome::Broken);
+        gateway.on_attempt_ended(now_ms, request, &id, Outcome::Broken);
         let down = TargetReport { is_up: false, ..report(1) };
         gateway.targets.note_report(now_ms + 50, address, down);
         gateway.take_ends(now_ms + 50);
@@ -1001,7 +1011,7 @@
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
     assert_eq!(sent(next).as_deref(), Some("t"));
     let now_ms = START_MS + 5;
-    gateway.ended(now_ms, &mut request, "t", Outcome::NobodyThere);
+    gateway.on_attempt_ended(now_ms, &mut request, "t", Outcome::NobodyThere);
     let mut later = admit(&mut gateway, "/deep/x");
     let next = gateway.next(now_ms, &mut later, now_ms, 0);
     assert_eq!(sent(next), None);
--- a/crates/raildale-core/tests/notices_world/mod.rs
+++ b/crates/raildale-core/tests/notices_world/mod.rs
@@ -375,7 +375,7 @@
         let id = spec(target).id;
         let request = &mut attempt.held.request;
         if is_refused {
-            host.ended(now_ms, request, &id, Outcome::Refused);
+            host.on_attempt_ended(now_ms, request, &id, Outcome::Refused);
             attempt.held.since_ms = now_ms;
             self.waiting[attempt.host].push(attempt.held);
             return None;
@@ -420,12 +420,12 @@
         let host = &mut self.hosts[attempt.host];
         let request = &mut attempt.held.request;
         if attempt.is_broken && age_ms >= END_MS / 2 {
-            host.ended(now_ms, request, &id, Outcome::Broken);
+            host.on_attempt_ended(now_ms, request, &id, Outcome::Broken);
             request.last_event_ms = Some(now_ms);
             attempt.held.since_ms = now_ms;
             self.waiting[attempt.host].push(attempt.held);
         } else if age_ms >= END_MS {
-            host.ended(now_ms, request, &id, Outcome::Whole);
+            host.on_attempt_ended(now_ms, request, &id, Outcome::Whole);
         } else {
             self.attempts.push(attempt);
         }
--- a/crates/raildale-core/tests/target_leaving.rs
+++ b/crates/raildale-core/tests/target_leaving.rs
@@ -122,7 +122,7 @@
     let mut request = admit(gateway, now_ms, path);
     let to = settle(gateway, now_ms, &mut request)?;
     gateway.note_begun(now_ms, &mut request, &to, 50);
-    gateway.ended(now_ms, &mut request, &to, Outcome::Whole);
+    gateway.on_attempt_ended(now_ms, &mut request, &to, Outcome::Whole);
     Some(to)
 }
 
@@ -159,7 +159,7 @@
         let mut request = admit(&mut gateway, now_ms, "/");
         let first = settle(&mut gateway, now_ms, &mut request);
         assert_eq!(first.as_deref(), Some("t1"));
-        gateway.ended(now_ms, &mut request, "t1", outcome);
+        gateway.on_attempt_ended(now_ms, &mut request, "t1", outcome);
         let again = settle(&mut gateway, now_ms + 10, &mut request);
         assert_eq!(again, None, "sent again after {outcome:?}");
     }
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -539,7 +539,7 @@
         let gateway = &mut self.hosts[call.host].gateway;
         let Some(admission) = call.admission.as_mut() else { return false };
         let id = target_id(known.target);
-        gateway.ended(now_ms, admission, &id, outcome)
+        gateway.on_attempt_ended(now_ms, admission, &id, outcome)
     }
 
     fn fail(&mut self, attempt: usize, outcome: Outcome) {
--- a/crates/raildale/src/fleet/entry/attempt.rs
+++ b/crates/raildale/src/fleet/entry/attempt.rs
@@ -157,7 +157,7 @@
         }
         let mut gateway = self.host.gateway.borrow_mut();
         let may_go_on =
-            gateway.ended(now_ms(), request, &self.target, outcome);
+            gateway.on_attempt_ended(now_ms(), request, &self.target, outcome);
         drop(gateway);
         if outcome == Outcome::Broken {
             self.host.note_suspects();
