--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -239,7 +239,7 @@
         if let Some(next) = self.keep(now_ms, request, since_ms) {
             return next;
         }
-        self.targets.share_out(now_ms, &request.service);
+        self.targets.update_own_slots(now_ms, &request.service);
         let model = request.model.as_deref();
         let bounds = self.version_bounds(now_ms, model);
         let least_version =
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -147,7 +147,7 @@
 
     /// Recomputes which slots of a service's targets this entry host owns,
     /// unless that was done recently: targets come and go.
-    pub fn share_out(&mut self, now_ms: u64, service: &Service) {
+    pub fn update_own_slots(&mut self, now_ms: u64, service: &Service) {
         let last_ms = self.shared_ms.get(&service.name);
         if last_ms.is_some_and(|ms| now_ms < ms + SHARES_FRESH_MS) {
             return;
--- a/crates/raildale-core/tests/free_slots.rs
+++ b/crates/raildale-core/tests/free_slots.rs
@@ -84,7 +84,7 @@
     }
     let service = gateway.routing().and_then(|r| r.service("model")).cloned();
     let service = service.expect("it is configured");
-    gateway.targets.share_out(START_MS, &service);
+    gateway.targets.update_own_slots(START_MS, &service);
     let own_slots: Vec<(Name, u32)> = gateway
         .targets
         .iter()
--- a/crates/raildale-core/tests/target_limit.rs
+++ b/crates/raildale-core/tests/target_limit.rs
@@ -282,7 +282,7 @@
     let gateway = &mut world.hosts[0];
     let service = gateway.routing().and_then(|r| r.service("model")).cloned();
     let service = service.expect("it is configured");
-    gateway.targets.share_out(START_MS + 1_000, &service);
+    gateway.targets.update_own_slots(START_MS + 1_000, &service);
     let elsewhere: u32 = gateway
         .targets
         .iter()
