--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -136,7 +136,7 @@
         part: impl FnOnce() -> OwnPart,
     ) -> bool {
         let Some(quota) = self.quota(start, part) else { return true };
-        let most = quota.most_in(WINDOW_MS as f64 / 1e3);
+        let most = quota.max_in(WINDOW_MS as f64 / 1e3);
         // Until the counts of the others are known, each may have sent as
         // much.
         let is_in_doubt = now_ms < self.untold_until_ms;
@@ -169,7 +169,7 @@
     ) -> u64 {
         let Some(quota) = self.quota(start, || OwnPart::ALL) else { return 0 };
         let sent = f64::from(self.sent_by_others(now_ms) + own);
-        let over = sent - quota.most_in(WINDOW_MS as f64 / 1e3);
+        let over = sent - quota.max_in(WINDOW_MS as f64 / 1e3);
         match over > 0.0 {
             true => (over / sent * WINDOW_MS as f64).ceil() as u64,
             false => 0,
--- a/crates/raildale-core/src/gateway/notices/quota.rs
+++ b/crates/raildale-core/src/gateway/notices/quota.rs
@@ -73,7 +73,7 @@
 
     /// Returns the maximum number of requests of all entry hosts in a time
     /// span: its tokens, and those kept from before it.
-    pub fn most_in(&self, span_s: f64) -> f64 {
+    pub fn max_in(&self, span_s: f64) -> f64 {
         self.per_s * (span_s + KEPT_S)
     }
 
