--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -375,7 +375,7 @@
             ready_ms: self.targets.ready_in_ms(now_ms, &service.name),
             rate_per_s,
             blocked_ms: fit.blocked_ms,
-            all_leave: self.targets.all_leave(&service.name),
+            all_leaving: self.targets.all_leaving(&service.name),
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
         match self.room.judge(now_ms, request, waited_ms, situation) {
--- a/crates/raildale-core/src/gateway/targets/said.rs
+++ b/crates/raildale-core/src/gateway/targets/said.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether a service has targets and all of them are leaving.
-    pub fn all_leave(&self, service: &str) -> bool {
+    pub fn all_leaving(&self, service: &str) -> bool {
         let leaves = |target: &Target| {
             target.spec.is_draining || self.notices.is_leaving(target.start)
         };
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -53,7 +53,7 @@
     /// than that.
     pub blocked_ms: u64,
     /// Whether all known targets are leaving: another has to start first.
-    pub all_leave: bool,
+    pub all_leaving: bool,
 }
 
 /// The decision on a request that finds no target.
@@ -361,7 +361,7 @@
     queue_ms: u64,
     situation: Situation,
 ) -> Verdict {
-    let patience_ms = match situation.all_leave {
+    let patience_ms = match situation.all_leaving {
         true => 0,
         false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
     };
