--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -16,7 +16,7 @@
     target_end::TargetEnd,
     targets::{Need, Targets, VersionBound},
     versions::NamedVersion,
-    waiting::{Situation, Verdict, WaitingRoom},
+    waiting::{TargetAvailability, Verdict, WaitingRoom},
 };
 use crate::{Code, Name};
 
@@ -370,7 +370,7 @@
         let service = &request.service;
         let rate_per_s =
             self.targets.rate_per_s(now_ms, service) / self.entry_hosts as f64;
-        let situation = Situation {
+        let situation = TargetAvailability {
             is_full: fit.is_full,
             ready_ms: self.targets.ready_in_ms(now_ms, &service.name),
             rate_per_s,
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -40,7 +40,7 @@
 
 /// The state of the targets when a request finds none.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Situation {
+pub struct TargetAvailability {
     /// Whether targets that serve the request exist and are only full.
     pub is_full: bool,
     /// Milliseconds until the next target will serve; `None` if unknown.
@@ -261,7 +261,7 @@
         now_ms: u64,
         request: &Admission,
         waited_ms: u64,
-        situation: Situation,
+        situation: TargetAvailability,
     ) -> Verdict {
         let left_ms = leaves_at_ms(request).saturating_sub(now_ms);
         if !situation.is_full {
@@ -291,7 +291,7 @@
         &self,
         now_ms: u64,
         request: &Admission,
-        situation: Situation,
+        situation: TargetAvailability,
     ) -> bool {
         if self.is_late(now_ms, request) {
             return false;
@@ -359,7 +359,7 @@
     waited_ms: u64,
     left_ms: u64,
     queue_ms: u64,
-    situation: Situation,
+    situation: TargetAvailability,
 ) -> Verdict {
     let patience_ms = match situation.all_leaving {
         true => 0,
