--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -370,7 +370,7 @@
         let service = &request.service;
         let rate_per_s =
             self.targets.rate_per_s(now_ms, service) / self.entry_hosts as f64;
-        let situation = TargetAvailability {
+        let availability = TargetAvailability {
             is_full: fit.is_full,
             ready_ms: self.targets.ready_in_ms(now_ms, &service.name),
             rate_per_s,
@@ -378,7 +378,7 @@
             all_leaving: self.targets.all_leaving(&service.name),
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
-        match self.room.judge(now_ms, request, waited_ms, situation) {
+        match self.room.judge(now_ms, request, waited_ms, availability) {
             Verdict::Wait(queue_kind) => {
                 self.room.enter(request, queue_kind);
                 Next::Wait(LOOK_AGAIN_MS)
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -261,19 +261,23 @@
         now_ms: u64,
         request: &Admission,
         waited_ms: u64,
-        situation: TargetAvailability,
+        availability: TargetAvailability,
     ) -> Verdict {
         let left_ms = leaves_at_ms(request).saturating_sub(now_ms);
-        if !situation.is_full {
-            let queue_ms = self.queue_ms(request, situation.rate_per_s);
+        if !availability.is_full {
+            let queue_ms = self.queue_ms(request, availability.rate_per_s);
             return judge_empty(
-                request, waited_ms, left_ms, queue_ms, situation,
+                request,
+                waited_ms,
+                left_ms,
+                queue_ms,
+                availability,
             );
         }
-        if self.will_be_in_time(now_ms, request, situation) {
+        if self.will_be_in_time(now_ms, request, availability) {
             return Verdict::Wait(QueueKind::InTime);
         }
-        self.judge_late(now_ms, request, left_ms, situation.blocked_ms)
+        self.judge_late(now_ms, request, left_ms, availability.blocked_ms)
     }
 
     /// Returns the milliseconds until the requests that wait now have been
@@ -291,20 +295,20 @@
         &self,
         now_ms: u64,
         request: &Admission,
-        situation: TargetAvailability,
+        availability: TargetAvailability,
     ) -> bool {
         if self.is_late(now_ms, request) {
             return false;
         }
         let queue = self.queues.get(&request.service.name);
-        if request.last_event_ms.is_some() && situation.blocked_ms == 0 {
+        if request.last_event_ms.is_some() && availability.blocked_ms == 0 {
             return true;
         }
         let queue_key = request.in_time_key(goal_at_ms(request));
         let ahead = queue.map_or(0, |queue| queue.before(queue_key));
         let taken_ms = now_ms.saturating_sub(request.arrived_ms)
-            + situation.blocked_ms
-            + time_ms(ahead, situation.rate_per_s)
+            + availability.blocked_ms
+            + time_ms(ahead, availability.rate_per_s)
             + self.first_event_ms(now_ms, request);
         taken_ms <= request.route.goal_ms
     }
@@ -359,14 +363,14 @@
     waited_ms: u64,
     left_ms: u64,
     queue_ms: u64,
-    situation: TargetAvailability,
+    availability: TargetAvailability,
 ) -> Verdict {
-    let patience_ms = match situation.all_leaving {
+    let patience_ms = match availability.all_leaving {
         true => 0,
         false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
     };
     let is_waiting = request.queue_kind != QueueKind::NotQueued;
-    let taken_ms = situation.ready_ms.map(|ms| {
+    let taken_ms = availability.ready_ms.map(|ms| {
         let queue_ms = if is_waiting { 0 } else { queue_ms };
         ms + SPREAD_MS + queue_ms
     });
@@ -379,7 +383,7 @@
         };
         return Verdict::Wait(queue_kind);
     }
-    let ready_ms = situation.ready_ms.unwrap_or(UNKNOWN_READY_MS);
+    let ready_ms = availability.ready_ms.unwrap_or(UNKNOWN_READY_MS);
     Verdict::GiveUp(capped(request, ready_ms))
 }
 
