--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -16,7 +16,7 @@
     target_end::TargetEnd,
     targets::{Need, Targets, VersionBound},
     versions::NamedVersion,
-    waiting::{TargetAvailability, Verdict, WaitingRoom},
+    waiting::{TargetAvailability, WaitDecision, WaitingRoom},
 };
 use crate::{Code, Name};
 
@@ -379,11 +379,11 @@
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
         match self.room.judge(now_ms, request, waited_ms, availability) {
-            Verdict::Wait(queue_kind) => {
+            WaitDecision::Wait(queue_kind) => {
                 self.room.enter(request, queue_kind);
                 Next::Wait(LOOK_AGAIN_MS)
             }
-            Verdict::GiveUp(back_ms) => {
+            WaitDecision::GiveUp(back_ms) => {
                 let mut refusal = self.give_up(request, Code::NoTarget);
                 let is_not_run = refusal.retry_after_ms.is_some();
                 refusal.retry_after_ms = is_not_run.then_some(back_ms);
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -58,7 +58,7 @@
 
 /// The decision on a request that finds no target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum WaitDecision {
     /// The request waits in this queue.
     Wait(QueueKind),
     /// The request is given up; if it has not run, it may be tried again after
@@ -262,7 +262,7 @@
         request: &Admission,
         waited_ms: u64,
         availability: TargetAvailability,
-    ) -> Verdict {
+    ) -> WaitDecision {
         let left_ms = leaves_at_ms(request).saturating_sub(now_ms);
         if !availability.is_full {
             let queue_ms = self.queue_ms(request, availability.rate_per_s);
@@ -275,7 +275,7 @@
             );
         }
         if self.will_be_in_time(now_ms, request, availability) {
-            return Verdict::Wait(QueueKind::InTime);
+            return WaitDecision::Wait(QueueKind::InTime);
         }
         self.judge_late(now_ms, request, left_ms, availability.blocked_ms)
     }
@@ -323,7 +323,7 @@
         request: &Admission,
         left_ms: u64,
         blocked_ms: u64,
-    ) -> Verdict {
+    ) -> WaitDecision {
         let first_event_ms = self.first_event_ms(now_ms, request);
         let queue = self.queues.get(&request.service.name);
         let late_ms = match request.queue_kind {
@@ -335,11 +335,11 @@
         let late_ms = late_ms.map(|ms| ms + blocked_ms);
         match late_ms {
             Some(ms) if ms + first_event_ms < left_ms => {
-                Verdict::Wait(QueueKind::Late)
+                WaitDecision::Wait(QueueKind::Late)
             }
             _ => {
                 let back_ms = late_ms.unwrap_or(u64::MAX);
-                Verdict::GiveUp(capped(request, back_ms))
+                WaitDecision::GiveUp(capped(request, back_ms))
             }
         }
     }
@@ -364,7 +364,7 @@
     left_ms: u64,
     queue_ms: u64,
     availability: TargetAvailability,
-) -> Verdict {
+) -> WaitDecision {
     let patience_ms = match availability.all_leaving {
         true => 0,
         false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
@@ -381,10 +381,10 @@
             QueueKind::NotQueued => QueueKind::InTime,
             queue_kind => queue_kind,
         };
-        return Verdict::Wait(queue_kind);
+        return WaitDecision::Wait(queue_kind);
     }
     let ready_ms = availability.ready_ms.unwrap_or(UNKNOWN_READY_MS);
-    Verdict::GiveUp(capped(request, ready_ms))
+    WaitDecision::GiveUp(capped(request, ready_ms))
 }
 
 /// Returns when the caller leaves if it has received nothing.
