--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -378,7 +378,7 @@
             all_leaving: self.targets.all_leaving(&service.name),
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
-        match self.room.judge(now_ms, request, waited_ms, availability) {
+        match self.room.decide(now_ms, request, waited_ms, availability) {
             WaitDecision::Wait(queue_kind) => {
                 self.room.enter(request, queue_kind);
                 Next::Wait(LOOK_AGAIN_MS)
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -256,7 +256,7 @@
     }
 
     /// Decides on a request that has waited for `waited_ms`.
-    pub fn judge(
+    pub fn decide(
         &self,
         now_ms: u64,
         request: &Admission,
