--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -16,7 +16,7 @@
     target_end::TargetEnd,
     targets::{Need, Targets, VersionBound},
     versions::NamedVersion,
-    waiting::{TargetAvailability, WaitDecision, WaitingRoom},
+    waiting::{TargetAvailability, WaitDecision, WaitQueues},
 };
 use crate::{Code, Name};
 
@@ -49,7 +49,7 @@
     /// The number of entry hosts that may exist, alive or not.
     known_entry_hosts: usize,
     arrivals: DecayingSum,
-    pub(super) room: WaitingRoom,
+    pub(super) room: WaitQueues,
     /// Detection of requests that crash their targets.
     pub quarantine: Quarantine,
 }
@@ -101,7 +101,7 @@
             entry_hosts: 1,
             known_entry_hosts: 1,
             arrivals: DecayingSum::new(DEMAND_HALF_LIFE_MS),
-            room: WaitingRoom::new(),
+            room: WaitQueues::new(),
             quarantine: Quarantine::new(),
         }
     }
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -18,7 +18,7 @@
 
 /// The requests that wait on this entry host, by service.
 #[derive(Debug, Default)]
-pub struct WaitingRoom {
+pub struct WaitQueues {
     queues: HashMap<Name, Queue>,
     /// The number of requests that have been queued so far.
     entered: u64,
@@ -142,10 +142,10 @@
     }
 }
 
-impl WaitingRoom {
+impl WaitQueues {
     /// Creates empty queues.
-    pub fn new() -> WaitingRoom {
-        WaitingRoom::default()
+    pub fn new() -> WaitQueues {
+        WaitQueues::default()
     }
 
     /// Adds a request to a queue of its service. A request that a target has
