--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -49,7 +49,7 @@
     /// The number of entry hosts that may exist, alive or not.
     known_entry_hosts: usize,
     arrivals: DecayingSum,
-    pub(super) room: WaitQueues,
+    pub(super) wait_queues: WaitQueues,
     /// Detection of requests that crash their targets.
     pub quarantine: Quarantine,
 }
@@ -101,7 +101,7 @@
             entry_hosts: 1,
             known_entry_hosts: 1,
             arrivals: DecayingSum::new(DEMAND_HALF_LIFE_MS),
-            room: WaitQueues::new(),
+            wait_queues: WaitQueues::new(),
             quarantine: Quarantine::new(),
         }
     }
@@ -215,7 +215,7 @@
     ) -> Next {
         let next = self.choose(now_ms, request, since_ms, draw);
         if !matches!(next, Next::Wait(_)) {
-            self.room.leave(request);
+            self.wait_queues.leave(request);
         }
         next
     }
@@ -246,7 +246,7 @@
             model.map_or(0, |model| self.least_version(now_ms, model, 0));
         let need = self.need(now_ms, request, &bounds);
         let is_late = need.is_late;
-        let picked = match self.room.is_next(now_ms, request) {
+        let picked = match self.wait_queues.is_next(now_ms, request) {
             true => self.targets.pick(now_ms, need, draw),
             false => None,
         };
@@ -275,7 +275,7 @@
             let refusal = self.give_up(request, Code::TargetBusy);
             return Next::Refuse(refusal.with_obstacle(Obstacle::Budget));
         }
-        self.room.note_sent(now_ms, request);
+        self.wait_queues.note_sent(now_ms, request);
         if !is_repeat {
             request.sent_ms = now_ms;
         }
@@ -337,7 +337,7 @@
     ) -> Need<'a> {
         let engine = request.service.engine.as_ref();
         Need {
-            is_late: self.room.is_late(now_ms, request),
+            is_late: self.wait_queues.is_late(now_ms, request),
             service: &request.service.name,
             data_centre: &self.config.data_centre,
             bounds,
@@ -378,9 +378,10 @@
             all_leaving: self.targets.all_leaving(&service.name),
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
-        match self.room.decide(now_ms, request, waited_ms, availability) {
+        match self.wait_queues.decide(now_ms, request, waited_ms, availability)
+        {
             WaitDecision::Wait(queue_kind) => {
-                self.room.enter(request, queue_kind);
+                self.wait_queues.enter(request, queue_kind);
                 Next::Wait(LOOK_AGAIN_MS)
             }
             WaitDecision::GiveUp(back_ms) => {
@@ -394,7 +395,7 @@
 
     /// Removes a request whose caller has left from the queue.
     pub fn stop_waiting(&mut self, request: &mut Admission) {
-        self.room.leave(request);
+        self.wait_queues.leave(request);
     }
 
     fn budget(&mut self, service: &Name) -> &mut RetryBudget {
--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -56,7 +56,7 @@
         // already generated.
         if request.tried.len() == 1 {
             let service = &request.service.name;
-            self.room.note_first_event(now_ms, service, took_ms);
+            self.wait_queues.note_first_event(now_ms, service, took_ms);
         }
     }
 
