--- a/crates/raildale-core/src/gateway/mod.rs
+++ b/crates/raildale-core/src/gateway/mod.rs
@@ -45,7 +45,7 @@
     admission::{Gateway, GatewayConfig},
     event_stream::EventSplitter,
     fingerprint::Fingerprint,
-    notices::{NoticeNews, TargetNotice},
+    notices::{NoticeChange, TargetNotice},
     request::{Admission, Refusal, RequestHead},
     retry_budget::RetryBudget,
     routes::{Limits, Route, RouteKind, Routing, Service},
--- a/crates/raildale-core/src/gateway/notices/gossip.rs
+++ b/crates/raildale-core/src/gateway/notices/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::{cmp::Reverse, net::IpAddr};
 
-use super::{ENDED_TOLD_MS, Known, NoticeNews, Notices};
+use super::{ENDED_TOLD_MS, Known, NoticeChange, Notices};
 use crate::{fleet_message::ToldNotice, gateway::target_end::StartId};
 
 /// How long it is sent to other entry hosts that a start is leaving, in
@@ -45,7 +45,7 @@
         now_ms: u64,
         from: IpAddr,
         told: &ToldNotice,
-    ) -> Vec<NoticeNews> {
+    ) -> Vec<NoticeChange> {
         let mut news = Vec::new();
         let start = StartId(told.start);
         let is_rate = |rate: &f64| rate.is_finite() && *rate >= 0.0;
@@ -58,7 +58,7 @@
         let known = self.by_start.entry(start).or_default();
         if told.is_leaving && !known.is_told_leaving {
             known.is_told_leaving = true;
-            news.push(NoticeNews::Leaving);
+            news.push(NoticeChange::Leaving);
         }
         known.limit.note_other(now_ms, from, told.sent_lately);
         if !is_known {
--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    NoticeNews,
+    NoticeChange,
     quota::{OwnPart, Quota},
 };
 use crate::gateway::target_end::StartId;
@@ -79,7 +79,7 @@
         said_ms: u64,
         now_ms: u64,
         now_s: f64,
-    ) -> Option<NoticeNews> {
+    ) -> Option<NoticeChange> {
         if said_ms < self.said_ms {
             return None;
         }
@@ -93,9 +93,9 @@
         let before = before.unwrap_or(f64::INFINITY);
         let now = per_s.unwrap_or(f64::INFINITY);
         match now.total_cmp(&before) {
-            std::cmp::Ordering::Less => Some(NoticeNews::Lower),
+            std::cmp::Ordering::Less => Some(NoticeChange::Lower),
             std::cmp::Ordering::Equal => None,
-            std::cmp::Ordering::Greater => Some(NoticeNews::Higher),
+            std::cmp::Ordering::Greater => Some(NoticeChange::Higher),
         }
     }
 
--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -38,7 +38,7 @@
 
 /// A change that a notice made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoticeNews {
+pub enum NoticeChange {
     /// A part of the notice could not be decoded.
     Malformed,
     /// The target accepts fewer requests than before.
@@ -132,7 +132,7 @@
         start: StartId,
         sent_ms: u64,
         notice: TargetNotice,
-    ) -> Vec<NoticeNews> {
+    ) -> Vec<NoticeChange> {
         let mut news = Vec::new();
         let says_any = notice != TargetNotice::default();
         if !says_any && !self.by_start.contains_key(&start) {
@@ -141,11 +141,11 @@
         let now_s = self.time_of_day_s(now_ms);
         let known = self.by_start.entry(start).or_default();
         if notice.is_malformed && !known.is_malformed {
-            news.push(NoticeNews::Malformed);
+            news.push(NoticeChange::Malformed);
         }
         known.is_malformed = notice.is_malformed;
         if notice.is_leaving && known.leaving_ms.replace(now_ms).is_none() {
-            news.push(NoticeNews::Leaving);
+            news.push(NoticeChange::Leaving);
         }
         if let Some(wait_ms) = notice.retry_after_ms {
             news.extend(known.wait(now_ms, wait_ms));
@@ -229,11 +229,11 @@
 
 impl Known {
     /// Records that it wants no requests from this entry host for `wait_ms`.
-    fn wait(&mut self, now_ms: u64, wait_ms: u64) -> Option<NoticeNews> {
+    fn wait(&mut self, now_ms: u64, wait_ms: u64) -> Option<NoticeChange> {
         let is_waiting = now_ms < self.waits_until_ms;
         let until_ms = now_ms.saturating_add(wait_ms);
         self.waits_until_ms = self.waits_until_ms.max(until_ms);
         let is_news = !is_waiting && wait_ms > 0;
-        is_news.then_some(NoticeNews::Waits(wait_ms))
+        is_news.then_some(NoticeChange::Waits(wait_ms))
     }
 }
--- a/crates/raildale-core/tests/target_limit.rs
+++ b/crates/raildale-core/tests/target_limit.rs
@@ -16,7 +16,7 @@
 use raildale_core::{
     fleet_message::ToldNotice,
     gateway::{
-        NoticeNews, TargetNotice, TargetSpec,
+        NoticeChange, TargetNotice, TargetSpec,
         notices::{
             Notices,
             quota::{OwnPart, Quota},
@@ -177,7 +177,7 @@
     notices.merge_remote(now_ms + 20, from, &told);
     assert_eq!(notices.limit_per_s(start), Some(2.0));
     let news = notices.note(now_ms + 100, start, now_ms + 30, silent);
-    assert_eq!(news, [NoticeNews::Higher]);
+    assert_eq!(news, [NoticeChange::Higher]);
     assert_eq!(notices.limit_per_s(start), None);
 }
 
@@ -220,7 +220,7 @@
     let later_ms = START_MS + 100;
     let first = notices.note(later_ms, start, later_ms, malformed);
     let second = notices.note(later_ms, start, later_ms, malformed);
-    assert_eq!(first, [NoticeNews::Malformed]);
+    assert_eq!(first, [NoticeChange::Malformed]);
     assert_eq!(second, []);
     assert_eq!(notices.limit_per_s(start), Some(2.0));
 }
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -5,7 +5,7 @@
 use raildale_core::{
     LogEvent,
     fleet_message::ToldNotice,
-    gateway::{NoticeNews, TargetNotice},
+    gateway::{NoticeChange, TargetNotice},
 };
 
 use super::{super::attempt::Attempt, EntryHost};
@@ -26,7 +26,7 @@
         drop(gateway);
         for one in news {
             self.log_notice(&attempt.target, notice, one);
-            if matches!(one, NoticeNews::Lower | NoticeNews::Leaving) {
+            if matches!(one, NoticeChange::Lower | NoticeChange::Leaving) {
                 self.news_due.notify_one();
             }
         }
@@ -36,18 +36,18 @@
         &self,
         target: &str,
         notice: TargetNotice,
-        news: NoticeNews,
+        news: NoticeChange,
     ) {
         let (event, word) = match news {
-            NoticeNews::Malformed => {
+            NoticeChange::Malformed => {
                 (LogEvent::NoticeMalformed, String::new())
             }
-            NoticeNews::Lower | NoticeNews::Higher => {
+            NoticeChange::Lower | NoticeChange::Higher => {
                 let limit = notice.limit_per_s;
                 (LogEvent::TargetLimited, format!(" limit_per_s={limit:?}"))
             }
-            NoticeNews::Leaving => (LogEvent::TargetLeaving, String::new()),
-            NoticeNews::Waits(ms) => {
+            NoticeChange::Leaving => (LogEvent::TargetLeaving, String::new()),
+            NoticeChange::Waits(ms) => {
                 (LogEvent::TargetWaits, format!(" wait_ms={ms}"))
             }
         };
