--- a/crates/raildale-core/src/gateway/versions.rs
+++ b/crates/raildale-core/src/gateway/versions.rs
@@ -15,7 +15,7 @@
 
 /// The change that a report of a named version made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VersionNews {
+pub enum VersionChange {
     /// The version was not known.
     New,
     /// The time of its naming was moved back by this many milliseconds.
@@ -31,7 +31,7 @@
         &mut self,
         model: Name,
         named: NamedVersion,
-    ) -> VersionNews {
+    ) -> VersionChange {
         let versions = self.versions.entry(model).or_default();
         match versions.binary_search_by_key(&named.version, |v| v.version) {
             Ok(place) => {
@@ -39,13 +39,13 @@
                 let earlier_ms = known_ms.saturating_sub(named.named_ms);
                 *known_ms -= earlier_ms;
                 match earlier_ms {
-                    0 => VersionNews::Known,
-                    ms => VersionNews::Earlier(ms),
+                    0 => VersionChange::Known,
+                    ms => VersionChange::Earlier(ms),
                 }
             }
             Err(place) => {
                 versions.insert(place, named);
-                VersionNews::New
+                VersionChange::New
             }
         }
     }
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -9,7 +9,7 @@
         Target,
         lapse::{Lapse, RELIST_TIMEOUT_MS, StoreView},
         target_end::StartId,
-        versions::{NamedVersion, VersionNews},
+        versions::{NamedVersion, VersionChange},
     },
 };
 
@@ -368,11 +368,11 @@
         let mut gateway = self.gateway.borrow_mut();
         let news = gateway.note_version(model.clone(), named);
         let is_told = match news {
-            VersionNews::New => true,
-            VersionNews::Earlier(ms) => ms >= EARLIER_LOGGED_MS,
-            VersionNews::Known => false,
+            VersionChange::New => true,
+            VersionChange::Earlier(ms) => ms >= EARLIER_LOGGED_MS,
+            VersionChange::Known => false,
         };
-        if news == VersionNews::New {
+        if news == VersionChange::New {
             // Agents learn of it now.
             self.briefing_due.notify_one();
         }
