--- a/crates/raildale-core/src/gateway/notices/gossip.rs
+++ b/crates/raildale-core/src/gateway/notices/gossip.rs
@@ -56,8 +56,8 @@
         }
         let now_s = self.time_of_day_s(now_ms);
         let known = self.by_start.entry(start).or_default();
-        if told.is_leaving && !known.is_told_leaving {
-            known.is_told_leaving = true;
+        if told.is_leaving && !known.is_reported_leaving {
+            known.is_reported_leaving = true;
             news.push(NoticeChange::Leaving);
         }
         known.limit.note_other(now_ms, from, told.sent_lately);
--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -70,7 +70,7 @@
     /// When it last told this entry host that it is leaving.
     leaving_ms: Option<u64>,
     /// Whether another entry host reported that it is leaving.
-    is_told_leaving: bool,
+    is_reported_leaving: bool,
     /// Until when it wants no requests from this entry host.
     waits_until_ms: u64,
     /// Whether the notice in its last answer could not be decoded.
@@ -115,9 +115,9 @@
     }
 
     /// Returns whether another entry host reported that a start is leaving.
-    pub fn is_told_leaving(&self, start: StartId) -> bool {
+    pub fn is_reported_leaving(&self, start: StartId) -> bool {
         let known = self.by_start.get(&start);
-        known.is_some_and(|known| known.is_told_leaving)
+        known.is_some_and(|known| known.is_reported_leaving)
     }
 
     /// Handles the notice in the answer to a request that was sent at
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -427,7 +427,7 @@
             self.of(need.service).filter(move |t| self.fits(t, now_ms, need))
         };
         let stays = move |target: &&Target| {
-            !self.notices.is_told_leaving(target.start)
+            !self.notices.is_reported_leaving(target.start)
         };
         let has_staying = fitting().any(|target| stays(&target));
         let fitting = move || {
