--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -412,7 +412,7 @@
     /// are free. When each host sent to any target that looked free, 34 in 100
     /// requests were in time at the end of an overload of 45 targets and 41
     /// entry hosts; with the lottery it is 66.
-    pub fn has_lent_room(
+    pub fn has_borrowable_room(
         &self,
         now_ms: u64,
         senders: f64,
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -494,7 +494,7 @@
             (false, false) => -LENT_FREE_SHARE * slots,
         };
         let competitors = self.shares.competitors(&target.spec.data_centre);
-        target.has_lent_room(now_ms, self.alike(), spare, competitors)
+        target.has_borrowable_room(now_ms, self.alike(), spare, competitors)
     }
 
     fn cost_for(&self, target: &Target, now_ms: u64, need: Need<'_>) -> f64 {
