--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -56,7 +56,7 @@
 
 /// Availability of the targets that could take a request.
 #[derive(Clone, Copy, Debug)]
-struct Fit {
+struct FittingTargets {
     /// Whether there are any; if so, they are only full.
     is_full: bool,
     /// Milliseconds until one takes requests again; 0 if one does now.
@@ -64,7 +64,7 @@
 }
 
 /// The interval at which a waiting request looks for a target with room.
-const LOOK_AGAIN_MS: u64 = 20;
+const POLL_INTERVAL_MS: u64 = 20;
 
 /// A try counts as the caller's first if its deadline is at least this share
 /// of the route's time-out.
@@ -72,7 +72,7 @@
 
 /// The share of the other entry hosts that compete for the same targets: those
 /// in the same data centre, and others when the targets of theirs are full.
-const ALIKE_SHARE: f64 = 0.4;
+const COMPETING_SHARE: f64 = 0.4;
 
 /// Half-life of a request's weight in the demand, in milliseconds. Heartbeats
 /// carry the demand every 400 ms.
@@ -80,7 +80,7 @@
 
 /// Urgency of a stream that is resumed: its next event is due before the first
 /// event of any other request.
-const URGENCY_GOES_ON: u8 = 2;
+const URGENCY_RESUMED: u8 = 2;
 
 /// Urgency of a request that can still meet its goal.
 const URGENCY_IN_TIME: u8 = 3;
@@ -132,7 +132,7 @@
         let others = (self.entry_hosts - 1) as f64;
         self.quarantine.set_place(own, self.entry_hosts);
         let shares = Shares::new(hosts, own);
-        self.targets.set_senders(1.0 + others * ALIKE_SHARE, shares);
+        self.targets.set_senders(1.0 + others * COMPETING_SHARE, shares);
     }
 
     /// Sets the number of entry hosts that may exist. They share the retry
@@ -213,14 +213,14 @@
         since_ms: u64,
         draw: u32,
     ) -> Next {
-        let next = self.choose(now_ms, request, since_ms, draw);
+        let next = self.decide_next(now_ms, request, since_ms, draw);
         if !matches!(next, Next::Wait(_)) {
             self.wait_queues.leave(request);
         }
         next
     }
 
-    fn choose(
+    fn decide_next(
         &mut self,
         now_ms: u64,
         request: &mut Admission,
@@ -236,7 +236,7 @@
             let refusal = self.give_up(request, Code::TargetBusy);
             return Next::Refuse(refusal.with_obstacle(Obstacle::Attempts));
         }
-        if let Some(next) = self.keep(now_ms, request, since_ms) {
+        if let Some(next) = self.check_quarantine(now_ms, request, since_ms) {
             return next;
         }
         self.targets.update_own_slots(now_ms, &request.service);
@@ -251,11 +251,11 @@
             false => None,
         };
         let Some(target) = picked else {
-            let fit = Fit {
+            let fitting = FittingTargets {
                 is_full: self.targets.any_fits(now_ms, need),
                 blocked_ms: self.targets.blocked_ms(now_ms, need),
             };
-            return self.wait_or_refuse(now_ms, request, since_ms, fit);
+            return self.wait_or_refuse(now_ms, request, since_ms, fitting);
         };
         let start = target.start;
         let dispatch = Dispatch {
@@ -264,7 +264,7 @@
             version: unconfirmed_version(target, now_ms, least_version),
             urgency: match (is_late, request.last_event_ms) {
                 (true, _) => URGENCY_LATE,
-                (false, Some(_)) => URGENCY_GOES_ON,
+                (false, Some(_)) => URGENCY_RESUMED,
                 (false, None) => URGENCY_IN_TIME,
             },
         };
@@ -296,7 +296,7 @@
     ///
     /// A request that waits for an earlier try with its fingerprint does so
     /// for as long as it can meet its goal.
-    fn keep(
+    fn check_quarantine(
         &self,
         now_ms: u64,
         request: &Admission,
@@ -307,7 +307,7 @@
         let back_ms = match self.quarantine.permission(now_ms, fingerprint) {
             Permission::Allowed => return None,
             Permission::Pending if waited_ms < request.route.goal_ms => {
-                return Some(Next::Wait(LOOK_AGAIN_MS));
+                return Some(Next::Wait(POLL_INTERVAL_MS));
             }
             Permission::Pending => MIN_RETRY_AFTER_MS,
             Permission::Denied(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
@@ -365,16 +365,16 @@
         now_ms: u64,
         request: &mut Admission,
         since_ms: u64,
-        fit: Fit,
+        fitting: FittingTargets,
     ) -> Next {
         let service = &request.service;
         let rate_per_s =
             self.targets.rate_per_s(now_ms, service) / self.entry_hosts as f64;
         let availability = TargetAvailability {
-            is_full: fit.is_full,
+            is_full: fitting.is_full,
             ready_ms: self.targets.ready_in_ms(now_ms, &service.name),
             rate_per_s,
-            blocked_ms: fit.blocked_ms,
+            blocked_ms: fitting.blocked_ms,
             all_leaving: self.targets.all_leaving(&service.name),
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
@@ -382,7 +382,7 @@
         {
             WaitDecision::Wait(queue_kind) => {
                 self.wait_queues.enter(request, queue_kind);
-                Next::Wait(LOOK_AGAIN_MS)
+                Next::Wait(POLL_INTERVAL_MS)
             }
             WaitDecision::GiveUp(back_ms) => {
                 let mut refusal = self.give_up(request, Code::NoTarget);
