--- a/crates/raildale-core/src/gateway/decaying_sum.rs
+++ b/crates/raildale-core/src/gateway/decaying_sum.rs
@@ -17,28 +17,29 @@
 
     /// Adds a value.
     pub fn add(&mut self, now_ms: u64, value: f64) {
-        let kept = self.kept(now_ms);
-        self.sum = self.sum * kept + value;
-        self.count = self.count * kept + 1.0;
+        let decay_factor = self.decay_factor(now_ms);
+        self.sum = self.sum * decay_factor + value;
+        self.count = self.count * decay_factor + 1.0;
         self.at_ms = now_ms;
     }
 
     /// Returns the weighted mean of the values and `prior`, which has a weight
     /// of `prior_count`.
     pub fn mean(&self, now_ms: u64, prior: f64, prior_count: f64) -> f64 {
-        let kept = self.kept(now_ms);
-        let sum = self.sum * kept + prior * prior_count;
-        sum / (self.count * kept + prior_count)
+        let decay_factor = self.decay_factor(now_ms);
+        let sum = self.sum * decay_factor + prior * prior_count;
+        sum / (self.count * decay_factor + prior_count)
     }
 
     /// Returns the recent rate of values per second.
     pub fn rate_per_s(&self, now_ms: u64) -> f64 {
         let seconds = self.half_life_ms / 1e3;
-        self.count * self.kept(now_ms) * std::f64::consts::LN_2 / seconds
+        self.count * self.decay_factor(now_ms) * std::f64::consts::LN_2
+            / seconds
     }
 
     /// Returns the factor by which the sum has decayed since the last value.
-    fn kept(&self, now_ms: u64) -> f64 {
+    fn decay_factor(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         (-age_ms / self.half_life_ms * std::f64::consts::LN_2).exp()
     }
