--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -14,16 +14,16 @@
 
 /// Silence, in milliseconds, after which the request is moved from a target
 /// whose agent is silent too or reports it down.
-const SUSPECT_AFTER_MS: u64 = 250;
+const SILENCE_TIMEOUT_MS: u64 = 250;
 
 /// Silence within a stream, in milliseconds, after which the stream is moved
 /// whatever the target's agent reports. Callers leave after two seconds at the
 /// earliest.
-const STREAM_PATIENCE_MS: u64 = 1_000;
+const STREAM_SILENCE_TIMEOUT_MS: u64 = 1_000;
 
 /// The number of latency goals for which a repeatable request waits for a
 /// target without an agent.
-const GOALS_OF_PATIENCE: u64 = 3;
+const SILENCE_TIMEOUT_GOALS: u64 = 3;
 
 /// Why a request is moved to another target while one is silent about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     ) -> bool {
         let has_begun = request.has_begun;
         self.targets.note_ended(now_ms, target, outcome, has_begun);
-        self.suspect(now_ms, request, outcome);
+        self.update_quarantine(now_ms, request, outcome);
         match outcome {
             Outcome::Whole | Outcome::Withdrawn => false,
             Outcome::Refused
@@ -87,7 +87,12 @@
 
     /// Updates the quarantine's record of the request with an attempt's
     /// outcome.
-    fn suspect(&mut self, now_ms: u64, request: &Admission, outcome: Outcome) {
+    fn update_quarantine(
+        &mut self,
+        now_ms: u64,
+        request: &Admission,
+        outcome: Outcome,
+    ) {
         let Some(fingerprint) = request.fingerprint else { return };
         self.quarantine.note_try_ended(fingerprint);
         let Some(start) = request.sent_to else { return };
@@ -158,7 +163,7 @@
         let tries = request.tried.len() as u32;
         let may_move =
             request.route.may_repeat() && tries < request.route.max_attempts;
-        if !may_move || silent_ms < SUSPECT_AFTER_MS {
+        if !may_move || silent_ms < SILENCE_TIMEOUT_MS {
             return None;
         }
         let Some(known) = self.targets.get(target) else {
@@ -171,16 +176,16 @@
         if report.is_some_and(|report| !report.is_up) {
             return Some(Silence::Down);
         }
-        let patience_ms = match (has_begun, report.is_some()) {
+        let timeout_ms = match (has_begun, report.is_some()) {
             // A stream that has begun is moved only if another target has
             // room: its events may only be delayed.
-            (true, _) if silent_ms < STREAM_PATIENCE_MS => u64::MAX,
+            (true, _) if silent_ms < STREAM_SILENCE_TIMEOUT_MS => u64::MAX,
             (true, _) if self.has_room_elsewhere(now_ms, request) => 0,
             (true, _) => u64::MAX,
             (false, true) => u64::MAX,
-            (false, false) => request.route.goal_ms * GOALS_OF_PATIENCE,
+            (false, false) => request.route.goal_ms * SILENCE_TIMEOUT_GOALS,
         };
-        (silent_ms >= patience_ms).then_some(Silence::TooLong)
+        (silent_ms >= timeout_ms).then_some(Silence::TooLong)
     }
 
     /// Returns the final refusal of a request that is not sent again.
