--- a/crates/raildale-core/src/gateway/request.rs
+++ b/crates/raildale-core/src/gateway/request.rs
@@ -190,10 +190,10 @@
 /// Creates a refusal with a code. Codes sent with HTTP status 429 or 503 get a
 /// retry time.
 pub(super) fn refusal(code: Code) -> Refusal {
-    let is_worth_it = matches!(code.http_status(), 429 | 503);
+    let is_retryable = matches!(code.http_status(), 429 | 503);
     Refusal {
         code,
         obstacle: Obstacle::Host,
-        retry_after_ms: is_worth_it.then_some(MIN_RETRY_AFTER_MS),
+        retry_after_ms: is_retryable.then_some(MIN_RETRY_AFTER_MS),
     }
 }
--- a/crates/raildale-core/src/gateway/retry_budget.rs
+++ b/crates/raildale-core/src/gateway/retry_budget.rs
@@ -12,7 +12,7 @@
 
 /// The part of `extra` that the buckets may hold. The rest covers requests and
 /// repeats that are in flight when a window begins or ends.
-const USED_SHARE: f64 = 0.9;
+const BUCKET_SHARE: f64 = 0.9;
 
 /// A token bucket of repeats to one service, filled by its requests.
 ///
@@ -26,35 +26,35 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     bound: RetryBound,
-    held: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
     /// Creates an empty bucket.
     pub fn new(bound: RetryBound) -> RetryBudget {
-        RetryBudget { bound, held: 0.0 }
+        RetryBudget { bound, tokens: 0.0 }
     }
 
     /// Counts a request on one of `entry_hosts` that share the bound.
     pub fn note_request(&mut self, entry_hosts: usize) {
-        self.held += self.bound.ratio;
+        self.tokens += self.bound.ratio;
         self.cap(entry_hosts);
     }
 
     /// Takes a token and returns true if the bucket holds one.
     pub fn try_repeat(&mut self, entry_hosts: usize) -> bool {
         self.cap(entry_hosts);
-        let holds_one = self.held >= 1.0;
-        if holds_one {
-            self.held -= 1.0;
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        holds_one
+        has_token
     }
 
     /// Limits the bucket to the part of one of `entry_hosts`. The minimum is
     /// one token, since a smaller part could never be used.
     fn cap(&mut self, entry_hosts: usize) {
-        let part = self.bound.extra * USED_SHARE / entry_hosts.max(1) as f64;
-        self.held = self.held.min(part.max(1.0));
+        let part = self.bound.extra * BUCKET_SHARE / entry_hosts.max(1) as f64;
+        self.tokens = self.tokens.min(part.max(1.0));
     }
 }
--- a/crates/raildale-core/src/gateway/routes.rs
+++ b/crates/raildale-core/src/gateway/routes.rs
@@ -132,10 +132,10 @@
     pub fn usual_run_ms(&self) -> f64 {
         /// The time spent on reading prompts, relative to the steps of an
         /// answer.
-        const READING_SHARE: f64 = 0.25;
+        const PREFILL_SHARE: f64 = 0.25;
         let step_ms =
             self.step_ms + self.per_sequence_ms * f64::from(self.slots);
-        self.usual_answer_tokens * step_ms * (1.0 + READING_SHARE)
+        self.usual_answer_tokens * step_ms * (1.0 + PREFILL_SHARE)
     }
 }
 
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -191,7 +191,7 @@
 /// The part of its own slots for which an entry host may have prompts read at
 /// a target at the same time. With all 16 slots of a target that had returned,
 /// the last first event took 0.5 s.
-const READING_SHARE: f64 = 0.4;
+const PREFILL_SHARE: f64 = 0.4;
 
 /// The fractional part of the golden ratio. Its multiples spread lottery
 /// numbers evenly over the entry hosts for one report, and over the reports
@@ -389,7 +389,7 @@
     /// target reads one after the other, so that the last of many that arrive
     /// at once is late however many slots are free.
     pub fn may_read_another(&self) -> bool {
-        let most = f64::from(self.own_slots) * READING_SHARE;
+        let most = f64::from(self.own_slots) * PREFILL_SHARE;
         self.not_begun < (most as u32).max(1)
     }
 
