--- a/crates/raildale-core/src/gateway/shares.rs
+++ b/crates/raildale-core/src/gateway/shares.rs
@@ -20,7 +20,7 @@
 
 /// The minimum demand that an entry host counts for: one without requests may
 /// get some before the next heartbeat.
-const LEAST_DEMAND: f64 = 0.5;
+const MIN_DEMAND: f64 = 0.5;
 
 /// The entry hosts, in the same order on all of them.
 #[derive(Clone, Debug, Default)]
@@ -58,7 +58,7 @@
     /// Returns this entry host's part of the slots of each data centre.
     /// `supplies` holds the number of slots in each.
     pub fn parts(&self, supplies: &[(Name, f64)]) -> Parts {
-        let demand = |sender: &Sender| sender.demand.max(LEAST_DEMAND);
+        let demand = |sender: &Sender| sender.demand.max(MIN_DEMAND);
         let all_demand: f64 = self.senders.iter().map(demand).sum();
         let all_supply: f64 = supplies.iter().map(|(_, slots)| slots).sum();
         let needs: Vec<f64> = self
@@ -70,18 +70,21 @@
             .iter()
             .map(|(centre, slots)| self.centre_need(centre, *slots, &needs))
             .collect();
-        let lacking = self.lacking(&centres, &needs);
-        let all_lacking: f64 = lacking.iter().sum();
+        let unmet = self.unmet(&centres, &needs);
+        let all_unmet: f64 = unmet.iter().sum();
         let parts = centres.iter().map(|centre| {
             let part = |place: usize| {
                 let is_here = self.senders[place].data_centre == centre.name;
-                let own =
-                    if is_here { centre.kept * needs[place] } else { 0.0 };
-                let lent = match all_lacking > 0.0 {
-                    true => centre.excess * lacking[place] / all_lacking,
+                let own = if is_here {
+                    centre.met_share * needs[place]
+                } else {
+                    0.0
+                };
+                let borrowed = match all_unmet > 0.0 {
+                    true => centre.excess * unmet[place] / all_unmet,
                     false => 0.0,
                 };
-                (own + lent) / centre.slots.max(1.0)
+                (own + borrowed) / centre.slots.max(1.0)
             };
             let before: f64 = (0..self.own).map(part).sum();
             let own =
@@ -105,22 +108,22 @@
         CentreNeed {
             name: name.clone(),
             slots,
-            kept: if need > slots { slots / need } else { 1.0 },
+            met_share: if need > slots { slots / need } else { 1.0 },
             excess: (slots - need).max(0.0),
         }
     }
 
     /// Returns the slots that each entry host needs outside its own data
     /// centre.
-    fn lacking(&self, centres: &[CentreNeed], needs: &[f64]) -> Vec<f64> {
-        let kept = |sender: &Sender| {
+    fn unmet(&self, centres: &[CentreNeed], needs: &[f64]) -> Vec<f64> {
+        let met_share = |sender: &Sender| {
             let centre = centres.iter().find(|c| c.name == sender.data_centre);
-            centre.map_or(0.0, |centre| centre.kept)
+            centre.map_or(0.0, |centre| centre.met_share)
         };
         self.senders
             .iter()
             .zip(needs)
-            .map(|(sender, need)| need * (1.0 - kept(sender)))
+            .map(|(sender, need)| need * (1.0 - met_share(sender)))
             .collect()
     }
 }
@@ -131,7 +134,7 @@
     name: Name,
     slots: f64,
     /// The part of their need that its own entry hosts get here, from 0 to 1.
-    kept: f64,
+    met_share: f64,
     /// Slots that are left for entry hosts elsewhere.
     excess: f64,
 }
@@ -166,10 +169,10 @@
     pub fn of(&self, data_centre: &str, slots: u32, place: usize) -> u32 {
         /// The fractional part of the golden ratio, whose multiples spread the
         /// rounding offsets evenly.
-        const GOLDEN: f64 = 0.618_033_988_749_895;
+        const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
         let part = self.0.iter().find(|p| *p.data_centre == *data_centre);
         let Some(part) = part else { return 0 };
-        let offset = (place as f64 * GOLDEN).fract();
+        let offset = (place as f64 * GOLDEN_RATIO_FRACTION).fract();
         let slots = f64::from(slots);
         let first = (part.before * slots + offset).floor();
         let end = ((part.before + part.own) * slots + offset).floor();
