--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -107,21 +107,21 @@
     report: Option<(u64, TargetReport, u32)>,
     /// Whether the last report came from the agent itself rather than a
     /// digest.
-    is_heard: bool,
+    is_direct: bool,
     /// Lottery number of the last report, from 0 to 1, equal on all entry
     /// hosts that receive the report. It decides which of them may use the
     /// free slots.
-    lot: f64,
+    lottery_number: f64,
     failures: FailureRate,
     misdirected_ms: Option<u64>,
     /// When nothing listened at its address, unless its agent has since
     /// reported it up.
-    nobody_ms: Option<u64>,
-    is_agent_told_up: bool,
+    unreachable_ms: Option<u64>,
+    was_agent_up: bool,
     /// Since when the number of missing chunks has been the same.
     missing_since_ms: u64,
     /// The longest recent round-trip time and when it was measured.
-    worst_way: (u64, u64),
+    worst_round_trip: (u64, u64),
     /// Set while the entry is missing from the list because of a store outage.
     pub lapse: Option<Lapse>,
 }
@@ -136,13 +136,13 @@
 
 /// How long a target is excluded after its address turned out to belong to
 /// another start, in milliseconds. Its entry lags behind by about as much.
-const MISDIRECTED_MS: u64 = 1_500;
+const MISDIRECTED_EXCLUSION_MS: u64 = 1_500;
 
 /// How long a target is excluded after nothing listened at its address, in
 /// milliseconds, unless its agent reports it up sooner. Agents report within
 /// 300 ms that it is down. Without the exclusion, 12 to 36 requests went to
 /// each of some targets that had just ended, and cost an attempt each.
-const NOBODY_MS: u64 = 400;
+const NOBODY_THERE_EXCLUSION_MS: u64 = 400;
 
 /// How much later than announced a report must be to count as overdue, in
 /// milliseconds. Datagrams are lost at times, and wait in queues.
@@ -150,7 +150,7 @@
 
 /// The maximum delay that is assumed, in milliseconds: without it, a target
 /// whose agent has ended would seem ever more distant.
-const DELAY_MOST_MS: u64 = 3_000;
+const MAX_DELAY_MS: u64 = 3_000;
 
 /// The time that each request at a target adds to the next one's wait for its
 /// first event, in milliseconds: its share of a step, and the reading of
@@ -165,28 +165,28 @@
 /// The round-trip time from which the path to a target is slow, in
 /// milliseconds. Five times the longest between data centres allows for lost
 /// reports.
-const SLOW_WAY_MS: u64 = 250;
+const SLOW_ROUND_TRIP_MS: u64 = 250;
 
 /// How long the longest round-trip time is remembered, in milliseconds. On a
 /// congested link, the queue grows and drains with each chunk.
-const WORST_WAY_FOR_MS: u64 = 3_000;
+const WORST_ROUND_TRIP_MEMORY_MS: u64 = 3_000;
 
 /// The time that a missing chunk takes while all targets are filled at once,
 /// in milliseconds: 48 chunks take about 3 s.
-const CHUNK_MS: u64 = 65;
+const MISSING_CHUNK_MS: u64 = 65;
 
 /// The time without a new chunk after which a fill is stalled, in
 /// milliseconds. A chunk takes 42 ms on a usual link, and 330 ms on one
 /// limited to 1.2 Mbit/s.
-const STALLED_MS: u64 = 1_000;
+const FILL_STALLED_MS: u64 = 1_000;
 
 /// The time from the last chunk until a target serves, in milliseconds.
-const LOAD_MS: u64 = 450;
+const WEIGHTS_LOAD_MS: u64 = 450;
 
 /// The number of requests beyond a target's slots that doesn't keep an entry
 /// host from its own slots there: requests that have just ended are still in
 /// the last report.
-const OWN_SPARE: f64 = 1.0;
+const OWN_SLOT_SLACK: f64 = 1.0;
 
 /// The part of its own slots for which an entry host may have prompts read at
 /// a target at the same time. With all 16 slots of a target that had returned,
@@ -196,7 +196,7 @@
 /// The fractional part of the golden ratio. Its multiples spread lottery
 /// numbers evenly over the entry hosts for one report, and over the reports
 /// for one host.
-const LOT_STEP: f64 = 0.618_033_988_749_895;
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
 /// The cost of a certain failure, as milliseconds of wait.
 const FAILURE_COST_MS: f64 = 2_500.0;
@@ -211,14 +211,14 @@
             not_begun: 0,
             own_slots: 0,
             report: None,
-            is_heard: false,
-            lot: 0.0,
+            is_direct: false,
+            lottery_number: 0.0,
             failures: FailureRate::new(),
             misdirected_ms: None,
-            nobody_ms: None,
-            is_agent_told_up: false,
+            unreachable_ms: None,
+            was_agent_up: false,
             missing_since_ms: 0,
-            worst_way: (0, 0),
+            worst_round_trip: (0, 0),
             lapse: None,
         }
     }
@@ -228,19 +228,20 @@
     pub fn note_report(&mut self, now_ms: u64, report: TargetReport) -> bool {
         let was_up = self.report.as_ref().is_some_and(|(_, r, _)| r.is_up);
         if report.is_up {
-            self.nobody_ms = None;
+            self.unreachable_ms = None;
         }
-        let is_over = now_ms >= self.worst_way.1 + WORST_WAY_FOR_MS;
-        if is_over || report.round_trip_ms >= self.worst_way.0 {
-            self.worst_way = (report.round_trip_ms, now_ms);
+        let is_over =
+            now_ms >= self.worst_round_trip.1 + WORST_ROUND_TRIP_MEMORY_MS;
+        if is_over || report.round_trip_ms >= self.worst_round_trip.0 {
+            self.worst_round_trip = (report.round_trip_ms, now_ms);
         }
         let missing = self.report.as_ref().map(|(_, r, _)| r.missing_chunks);
         if missing != Some(report.missing_chunks) {
             self.missing_since_ms = now_ms;
         }
         self.report = Some((now_ms, report, self.in_flight));
-        self.is_heard = true;
-        self.lot = (now_ms as f64 * LOT_STEP).fract();
+        self.is_direct = true;
+        self.lottery_number = (now_ms as f64 * GOLDEN_RATIO_FRACTION).fract();
         was_up && !report.is_up
     }
 
@@ -257,7 +258,7 @@
             return false;
         }
         let has_ended = self.note_report(at_ms, report);
-        self.is_heard = false;
+        self.is_direct = false;
         has_ended
     }
 
@@ -279,7 +280,7 @@
     pub fn direct_report(&self, now_ms: u64) -> Option<(&TargetReport, u64)> {
         let (at_ms, report, _) = self.report.as_ref()?;
         let age_ms = now_ms.saturating_sub(*at_ms);
-        let is_fresh = age_ms < REPORT_FRESH_MS && self.is_heard;
+        let is_fresh = age_ms < REPORT_FRESH_MS && self.is_direct;
         is_fresh.then_some((report, age_ms))
     }
 
@@ -290,7 +291,7 @@
             Outcome::Misdirected => self.misdirected_ms = Some(now_ms),
             Outcome::Refused => self.failures.add(now_ms, 0.6),
             Outcome::NobodyThere => {
-                self.nobody_ms = Some(now_ms);
+                self.unreachable_ms = Some(now_ms);
                 self.failures.add(now_ms, 1.0);
             }
             Outcome::Unreachable | Outcome::Broken => {
@@ -303,9 +304,9 @@
     /// Returns whether its agent is up, if that changed since the last call.
     pub fn agent_change(&mut self, now_ms: u64) -> Option<bool> {
         let is_up = self.report.is_some() && !self.is_silent(now_ms);
-        let is_news = is_up != self.is_agent_told_up;
-        self.is_agent_told_up = is_up;
-        is_news.then_some(is_up)
+        let has_changed = is_up != self.was_agent_up;
+        self.was_agent_up = is_up;
+        has_changed.then_some(is_up)
     }
 
     /// Returns the last report if it is fresh enough to be used as a measure
@@ -337,17 +338,17 @@
 
     /// Returns whether new requests may be sent there at all.
     pub fn is_open(&self, now_ms: u64) -> bool {
-        let welcomes = self
+        let is_accepting_requests = self
             .report(now_ms)
             .is_none_or(|report| report.is_up && report.is_accepting);
-        let is_elsewhere = self.misdirected_ms.is_some_and(|at_ms| {
-            now_ms.saturating_sub(at_ms) < MISDIRECTED_MS
+        let is_misdirected = self.misdirected_ms.is_some_and(|at_ms| {
+            now_ms.saturating_sub(at_ms) < MISDIRECTED_EXCLUSION_MS
         });
-        let is_deserted = self
-            .nobody_ms
-            .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < NOBODY_MS);
-        let is_there = !is_elsewhere && !is_deserted;
-        welcomes && !self.spec.is_draining && is_there
+        let is_nobody_there = self.unreachable_ms.is_some_and(|at_ms| {
+            now_ms.saturating_sub(at_ms) < NOBODY_THERE_EXCLUSION_MS
+        });
+        let is_reachable = !is_misdirected && !is_nobody_there;
+        is_accepting_requests && !self.spec.is_draining && is_reachable
     }
 
     /// Returns the estimated number of requests there, of all entry hosts.
@@ -357,14 +358,14 @@
     /// choices, and would otherwise all flood a target that looked idle before
     /// its next report.
     pub fn load(&self, now_ms: u64, senders: f64) -> f64 {
-        let Some((at_ms, report, own_then)) = &self.report else {
+        let Some((at_ms, report, own_at_report)) = &self.report else {
             return f64::from(self.in_flight) * senders;
         };
         if now_ms.saturating_sub(*at_ms) >= REPORT_FRESH_MS {
             return f64::from(self.in_flight) * senders;
         }
         let all = f64::from(report.running + report.queued);
-        let change = f64::from(self.in_flight) - f64::from(*own_then);
+        let change = f64::from(self.in_flight) - f64::from(*own_at_report);
         let weight = if change > 0.0 { senders } else { 1.0 };
         (all + change * weight).max(f64::from(self.in_flight))
     }
@@ -375,22 +376,22 @@
     pub fn ready_in_ms(&self, now_ms: u64) -> Option<u64> {
         let report = self.report(now_ms)?;
         let is_stalled = report.missing_chunks > 0
-            && now_ms >= self.missing_since_ms + STALLED_MS;
+            && now_ms >= self.missing_since_ms + FILL_STALLED_MS;
         if is_stalled {
             return None;
         }
         let is_coming = report.is_up
             && (report.missing_chunks > 0 || !report.is_accepting);
         let missing = u64::from(report.missing_chunks);
-        is_coming.then_some(missing * CHUNK_MS + LOAD_MS)
+        is_coming.then_some(missing * MISSING_CHUNK_MS + WEIGHTS_LOAD_MS)
     }
 
     /// Returns whether another prompt of this entry host may be read there. A
     /// target reads one after the other, so that the last of many that arrive
     /// at once is late however many slots are free.
     pub fn may_read_another(&self) -> bool {
-        let most = f64::from(self.own_slots) * PREFILL_SHARE;
-        self.not_begun < (most as u32).max(1)
+        let max_unread = f64::from(self.own_slots) * PREFILL_SHARE;
+        self.not_begun < (max_unread as u32).max(1)
     }
 
     /// Returns whether a request would begin there (almost) at once in a slot
@@ -401,7 +402,7 @@
     pub fn has_own_room(&self, now_ms: u64) -> bool {
         let slots = f64::from(self.spec.slots);
         let has_own = self.in_flight < self.own_slots;
-        has_own && self.load(now_ms, 1.0) < slots + OWN_SPARE
+        has_own && self.load(now_ms, 1.0) < slots + OWN_SLOT_SLACK
     }
 
     /// Returns whether a request would begin there at once in any slot, given
@@ -428,13 +429,15 @@
         }
         let slots = f64::from(self.spec.slots) + spare;
         let free = slots - self.load(now_ms, senders);
-        let lot = (self.lot + competitors.own_index as f64 * LOT_STEP).fract();
-        free > lot * competitors.count as f64
+        let lottery_number = (self.lottery_number
+            + competitors.own_index as f64 * GOLDEN_RATIO_FRACTION)
+            .fract();
+        free > lottery_number * competitors.count as f64
     }
 
     /// Returns whether the path to its machine is slow or its agent is silent.
     pub fn is_slow(&self, now_ms: u64) -> bool {
-        self.worst_round_trip_ms(now_ms) > SLOW_WAY_MS
+        self.worst_round_trip_ms(now_ms) > SLOW_ROUND_TRIP_MS
     }
 
     /// Returns whether the path to its machine is presumed slow: a recent
@@ -446,18 +449,18 @@
     /// fill may delay reports and requests alike for seconds. No benefit of
     /// counting silence as slow was measured.
     pub fn is_path_presumed_slow(&self, now_ms: u64) -> bool {
-        let (worst_ms, at_ms) = self.worst_way;
-        let is_known =
-            worst_ms > SLOW_WAY_MS && now_ms < at_ms + WORST_WAY_FOR_MS;
+        let (worst_ms, at_ms) = self.worst_round_trip;
+        let is_known = worst_ms > SLOW_ROUND_TRIP_MS
+            && now_ms < at_ms + WORST_ROUND_TRIP_MEMORY_MS;
         let overdue_ms = self.overdue_ms(now_ms);
-        is_known || (SLOW_WAY_MS..DELAY_MOST_MS).contains(&overdue_ms)
+        is_known || (SLOW_ROUND_TRIP_MS..MAX_DELAY_MS).contains(&overdue_ms)
     }
 
     /// Returns the longest recent round-trip time to its machine in
     /// milliseconds.
     pub fn worst_round_trip_ms(&self, now_ms: u64) -> u64 {
-        let (worst_ms, at_ms) = self.worst_way;
-        let is_over = now_ms >= at_ms + WORST_WAY_FOR_MS;
+        let (worst_ms, at_ms) = self.worst_round_trip;
+        let is_over = now_ms >= at_ms + WORST_ROUND_TRIP_MEMORY_MS;
         let worst_ms = if is_over { 0 } else { worst_ms };
         worst_ms.max(self.round_trip_ms(now_ms))
     }
@@ -467,7 +470,7 @@
     pub fn round_trip_ms(&self, now_ms: u64) -> u64 {
         let Some((_, report, _)) = &self.report else { return 0 };
         let overdue_ms = self.overdue_ms(now_ms);
-        report.round_trip_ms.max(overdue_ms).min(DELAY_MOST_MS)
+        report.round_trip_ms.max(overdue_ms).min(MAX_DELAY_MS)
     }
 
     /// Returns by how much the next report is overdue, in milliseconds.
@@ -486,8 +489,8 @@
         let pace =
             self.report(now_ms).map_or(1.0, |report| report.pace.max(0.1));
         let waiting = (load + 1.0 - slots).max(0.0) * USUAL_RUN_MS / slots;
-        let crowded = load.min(slots) * CROWDING_MS;
-        (waiting + crowded) * pace
+        let crowding = load.min(slots) * CROWDING_MS;
+        (waiting + crowding) * pace
             + self.round_trip_ms(now_ms) as f64
             + (pace - 1.0).max(0.0) * 100.0
             + self.failures.rate(now_ms) * FAILURE_COST_MS
@@ -499,15 +502,15 @@
 struct FailureRate(DecayingSum);
 
 /// Half-life of an outcome's weight, in milliseconds.
-const HALF_LIFE_MS: f64 = 2_000.0;
+const FAILURE_HALF_LIFE_MS: f64 = 2_000.0;
 
 /// The weight of the successes assumed in advance, so that a single failure
 /// doesn't count as certain failure.
-const PRIOR_GOOD: f64 = 3.0;
+const PRIOR_SUCCESSES: f64 = 3.0;
 
 impl FailureRate {
     fn new() -> FailureRate {
-        FailureRate(DecayingSum::new(HALF_LIFE_MS))
+        FailureRate(DecayingSum::new(FAILURE_HALF_LIFE_MS))
     }
 
     fn add(&mut self, now_ms: u64, failed: f64) {
@@ -515,6 +518,6 @@
     }
 
     fn rate(&self, now_ms: u64) -> f64 {
-        self.0.mean(now_ms, 0.0, PRIOR_GOOD)
+        self.0.mean(now_ms, 0.0, PRIOR_SUCCESSES)
     }
 }
