--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -21,7 +21,7 @@
 pub struct WaitQueues {
     queues: HashMap<Name, Queue>,
     /// The number of requests that have been queued so far.
-    entered: u64,
+    sequence: u64,
 }
 
 /// The queues of one service.
@@ -68,27 +68,27 @@
 
 /// Half-life of the weight of what is measured on a queue, in milliseconds. A
 /// change of load shows within a second or two, and no single burst dominates.
-const HALF_LIFE_MS: f64 = 1_000.0;
+const QUEUE_HALF_LIFE_MS: f64 = 1_000.0;
 
 /// The assumed time to the first event at a target with room, in milliseconds,
 /// which has the weight of [`FIRST_EVENT_PRIOR_WEIGHT`] measurements. It is
 /// 115 to 150 ms on targets that are half full.
-const FIRST_EVENT_MS: f64 = 120.0;
+const ASSUMED_FIRST_EVENT_MS: f64 = 120.0;
 
 /// The weight of the assumed time to the first event.
-const FIRST_EVENT_GUESSES: f64 = 3.0;
+const FIRST_EVENT_PRIOR_WEIGHT: f64 = 3.0;
 
 /// The share of its goal for which a request may wait while no target serves
 /// it.
-const WAIT_SHARE: f64 = 0.22;
+const NO_TARGET_WAIT_SHARE: f64 = 0.22;
 
 /// The time from the first target that serves until half of them do, in
 /// milliseconds, after a fleet was empty. It is 0.4 to 0.8 s.
-const SPREAD_MS: u64 = 500;
+const FLEET_RECOVERY_MS: u64 = 500;
 
 /// The assumed time until a target serves again if nothing is known, in
 /// milliseconds. An empty fleet is filled in about 4 s, on average half of it.
-const UNKNOWN_READY_MS: u64 = 2_000;
+const ASSUMED_READY_MS: u64 = 2_000;
 
 /// Callers leave a stream that is silent for the longest of this time, four
 /// goals and eight pause goals, as the platform documents it. In milliseconds.
@@ -99,14 +99,14 @@
         Queue {
             in_time: BTreeSet::new(),
             late: BTreeSet::new(),
-            late_sent: DecayingSum::new(HALF_LIFE_MS),
-            first_event_ms: DecayingSum::new(HALF_LIFE_MS),
+            late_sent: DecayingSum::new(QUEUE_HALF_LIFE_MS),
+            first_event_ms: DecayingSum::new(QUEUE_HALF_LIFE_MS),
         }
     }
 }
 
 impl Queue {
-    fn turns_mut(
+    fn keys_mut(
         &mut self,
         queue_kind: QueueKind,
     ) -> Option<&mut BTreeSet<QueueKey>> {
@@ -119,13 +119,14 @@
 
     /// Returns how many waiting requests precede one that can meet its goal
     /// and has the key `turn`.
-    fn before(&self, queue_key: QueueKey) -> u32 {
+    fn count_before(&self, queue_key: QueueKey) -> u32 {
         self.in_time.range(..queue_key).count() as u32
     }
 
     fn first_event_ms(&self, now_ms: u64) -> u64 {
         let seen = &self.first_event_ms;
-        seen.mean(now_ms, FIRST_EVENT_MS, FIRST_EVENT_GUESSES) as u64
+        seen.mean(now_ms, ASSUMED_FIRST_EVENT_MS, FIRST_EVENT_PRIOR_WEIGHT)
+            as u64
     }
 
     /// Returns the milliseconds until all waiting late requests have been
@@ -160,10 +161,10 @@
             return;
         }
         if request.queue_key.is_none() {
-            self.entered += 1;
+            self.sequence += 1;
         }
         let number =
-            request.queue_key.map_or(self.entered, |(_, number)| number);
+            request.queue_key.map_or(self.sequence, |(_, number)| number);
         let queue_key = match queue_kind {
             QueueKind::InTime => (goal_at_ms(request), number),
             QueueKind::NotQueued | QueueKind::Late => {
@@ -171,8 +172,8 @@
             }
         };
         let queue = self.queues.entry(request.service.name.clone());
-        if let Some(turns) = queue.or_default().turns_mut(queue_kind) {
-            turns.insert(queue_key);
+        if let Some(keys) = queue.or_default().keys_mut(queue_kind) {
+            keys.insert(queue_key);
         }
         request.queue_key = Some(queue_key);
     }
@@ -180,10 +181,9 @@
     /// Removes a request from its queue, if it is in one.
     pub fn leave(&mut self, request: &mut Admission) {
         let queue = self.queues.get_mut(&request.service.name);
-        let turns =
-            queue.and_then(|queue| queue.turns_mut(request.queue_kind));
-        if let (Some(turns), Some(queue_key)) = (turns, request.queue_key) {
-            turns.remove(&queue_key);
+        let keys = queue.and_then(|queue| queue.keys_mut(request.queue_kind));
+        if let (Some(keys), Some(queue_key)) = (keys, request.queue_key) {
+            keys.remove(&queue_key);
         }
         request.queue_kind = QueueKind::NotQueued;
     }
@@ -235,7 +235,9 @@
     /// milliseconds.
     fn first_event_ms(&self, now_ms: u64, request: &Admission) -> u64 {
         let queue = self.queues.get(&request.service.name);
-        queue.map_or(FIRST_EVENT_MS as u64, |q| q.first_event_ms(now_ms))
+        queue.map_or(ASSUMED_FIRST_EVENT_MS as u64, |q| {
+            q.first_event_ms(now_ms)
+        })
     }
 
     /// Returns whether a request would miss its goal if it were sent now. A
@@ -266,7 +268,7 @@
         let left_ms = leaves_at_ms(request).saturating_sub(now_ms);
         if !availability.is_full {
             let queue_ms = self.queue_ms(request, availability.rate_per_s);
-            return judge_empty(
+            return decide_without_targets(
                 request,
                 waited_ms,
                 left_ms,
@@ -274,10 +276,10 @@
                 availability,
             );
         }
-        if self.will_be_in_time(now_ms, request, availability) {
+        if self.will_meet_goal(now_ms, request, availability) {
             return WaitDecision::Wait(QueueKind::InTime);
         }
-        self.judge_late(now_ms, request, left_ms, availability.blocked_ms)
+        self.decide_late(now_ms, request, left_ms, availability.blocked_ms)
     }
 
     /// Returns the milliseconds until the requests that wait now have been
@@ -291,7 +293,7 @@
 
     /// Returns whether a request will meet its goal behind those queued before
     /// it.
-    fn will_be_in_time(
+    fn will_meet_goal(
         &self,
         now_ms: u64,
         request: &Admission,
@@ -305,19 +307,19 @@
             return true;
         }
         let queue_key = request.in_time_key(goal_at_ms(request));
-        let ahead = queue.map_or(0, |queue| queue.before(queue_key));
-        let taken_ms = now_ms.saturating_sub(request.arrived_ms)
+        let ahead = queue.map_or(0, |queue| queue.count_before(queue_key));
+        let expected_ms = now_ms.saturating_sub(request.arrived_ms)
             + availability.blocked_ms
             + time_ms(ahead, availability.rate_per_s)
             + self.first_event_ms(now_ms, request);
-        taken_ms <= request.route.goal_ms
+        expected_ms <= request.route.goal_ms
     }
 
     /// Decides on a late request while targets are full. It waits until its
     /// caller leaves, if the late requests before it will be served by then.
     /// If none is being served, one at a time waits to find out whether any
     /// is.
-    fn judge_late(
+    fn decide_late(
         &self,
         now_ms: u64,
         request: &Admission,
@@ -339,7 +341,7 @@
             }
             _ => {
                 let back_ms = late_ms.unwrap_or(u64::MAX);
-                WaitDecision::GiveUp(capped(request, back_ms))
+                WaitDecision::GiveUp(capped_retry_ms(request, back_ms))
             }
         }
     }
@@ -358,24 +360,24 @@
 /// Decides on a request while no target serves. A first try is refused early
 /// with the time at which one will; a later try waits if it will be taken
 /// before its caller leaves.
-fn judge_empty(
+fn decide_without_targets(
     request: &Admission,
     waited_ms: u64,
     left_ms: u64,
     queue_ms: u64,
     availability: TargetAvailability,
 ) -> WaitDecision {
-    let patience_ms = match availability.all_leaving {
+    let max_wait_ms = match availability.all_leaving {
         true => 0,
-        false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
+        false => (request.route.goal_ms as f64 * NO_TARGET_WAIT_SHARE) as u64,
     };
     let is_waiting = request.queue_kind != QueueKind::NotQueued;
-    let taken_ms = availability.ready_ms.map(|ms| {
+    let expected_ms = availability.ready_ms.map(|ms| {
         let queue_ms = if is_waiting { 0 } else { queue_ms };
-        ms + SPREAD_MS + queue_ms
+        ms + FLEET_RECOVERY_MS + queue_ms
     });
-    let will_serve = taken_ms.is_some_and(|ms| ms < left_ms);
-    if waited_ms < patience_ms || request.is_retry && will_serve {
+    let will_serve = expected_ms.is_some_and(|ms| ms < left_ms);
+    if waited_ms < max_wait_ms || request.is_retry && will_serve {
         let queue_kind = match request.queue_kind {
             QueueKind::NotQueued if request.is_retry => QueueKind::Late,
             QueueKind::NotQueued => QueueKind::InTime,
@@ -383,8 +385,8 @@
         };
         return WaitDecision::Wait(queue_kind);
     }
-    let ready_ms = availability.ready_ms.unwrap_or(UNKNOWN_READY_MS);
-    WaitDecision::GiveUp(capped(request, ready_ms))
+    let ready_ms = availability.ready_ms.unwrap_or(ASSUMED_READY_MS);
+    WaitDecision::GiveUp(capped_retry_ms(request, ready_ms))
 }
 
 /// Returns when the caller leaves if it has received nothing.
@@ -403,8 +405,8 @@
 
 /// Limits a retry time to one that the caller will heed: at most a third of
 /// its total time, and at least [`MIN_RETRY_AFTER_MS`].
-fn capped(request: &Admission, ms: u64) -> u64 {
+fn capped_retry_ms(request: &Admission, ms: u64) -> u64 {
     let total_ms = request.due_ms.saturating_sub(request.arrived_ms);
-    let most_ms = (total_ms / 3).max(MIN_RETRY_AFTER_MS);
-    ms.clamp(MIN_RETRY_AFTER_MS, most_ms)
+    let max_ms = (total_ms / 3).max(MIN_RETRY_AFTER_MS);
+    ms.clamp(MIN_RETRY_AFTER_MS, max_ms)
 }
