--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -10,11 +10,11 @@
 /// How long a departure is remembered, in milliseconds: the longest time that
 /// a start goes on serving after it left, with a margin. By then, an entry of
 /// a restored copy that has no owner has lapsed.
-const KEPT_MS: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 
 /// The maximum number of departures that are remembered; the oldest are
 /// dropped first.
-const MOST: usize = 4_096;
+const MAX_DEPARTURES: usize = 4_096;
 
 /// The starts that have recently left the list.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Departure {
     /// The change of the store by which the entry was gone.
-    gone: Stamp,
+    removed: Stamp,
     /// When the departure became known here, on the process's clock.
     at_ms: u64,
     /// The stamp of the start's entry in a restored copy, if one was listed.
@@ -35,14 +35,14 @@
 
 impl Departed {
     /// Records that a start has left the list by the change `gone`.
-    pub fn note(&mut self, now_ms: u64, start: StartId, gone: Stamp) {
-        let departure = Departure { gone, at_ms: now_ms, copied: None };
+    pub fn note(&mut self, now_ms: u64, start: StartId, removed: Stamp) {
+        let departure = Departure { removed, at_ms: now_ms, copied: None };
         self.insert(start, departure);
     }
 
     fn insert(&mut self, start: StartId, departure: Departure) {
         self.by_start.insert(start, departure);
-        if self.by_start.len() > MOST {
+        if self.by_start.len() > MAX_DEPARTURES {
             let oldest = self.by_start.iter().min_by_key(|(_, d)| d.at_ms);
             if let Some(start) = oldest.map(|(start, _)| *start) {
                 self.by_start.remove(&start);
@@ -57,8 +57,8 @@
         let Some(departure) = self.by_start.get_mut(&start) else {
             return false;
         };
-        let is_from_copy = entry.era > departure.gone.era
-            && entry.revision <= departure.gone.revision;
+        let is_from_copy = entry.era > departure.removed.era
+            && entry.revision <= departure.removed.revision;
         let copied = *departure.copied.get_or_insert(entry);
         let is_copied = is_from_copy && copied == entry;
         if !is_copied {
@@ -71,7 +71,7 @@
     /// were treated as copies until now.
     pub fn sweep(&mut self, now_ms: u64) -> Vec<StartId> {
         let is_old = |departure: &Departure| {
-            now_ms.saturating_sub(departure.at_ms) > KEPT_MS
+            now_ms.saturating_sub(departure.at_ms) > RETENTION_MS
         };
         let old = self.by_start.iter().filter(|(_, d)| is_old(d));
         let copied = old.filter(|(_, d)| d.copied.is_some());
@@ -84,7 +84,7 @@
     /// entry hosts.
     pub fn outgoing(&self, now_ms: u64) -> Vec<ToldDeparture> {
         let told = |(start, departure): (&StartId, &Departure)| {
-            let Stamp { era, revision } = departure.gone;
+            let Stamp { era, revision } = departure.removed;
             let age_ms = now_ms.saturating_sub(departure.at_ms);
             ToldDeparture {
                 start: start.0,
@@ -103,7 +103,7 @@
         for one in told {
             let start = StartId(one.start);
             let departure = Departure {
-                gone: Stamp::new(one.era, one.revision),
+                removed: Stamp::new(one.era, one.revision),
                 at_ms: now_ms.saturating_sub(one.age_ms),
                 copied: one.copied(),
             };
