--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -4,7 +4,7 @@
 //! * `notice_limits`: effects of targets' notices on the choice.
 
 pub mod departed;
-mod said;
+mod notice_limits;
 
 use std::{
     collections::{BTreeMap, HashMap},
