--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -40,16 +40,16 @@
     /// Starts that have left the list.
     pub departed: Departed,
     /// When this entry host's own slots were last computed, by service.
-    shared_ms: HashMap<Name, u64>,
+    shares_updated_ms: HashMap<Name, u64>,
     /// Starts that have ended since the last call of [`Targets::take_ends`].
     ended: Vec<TargetEnd>,
     /// The last start at each address that is no longer listed. The next start
     /// there shows that it has ended.
-    left: HashMap<SocketAddr, TargetEnd>,
+    delisted: HashMap<SocketAddr, TargetEnd>,
 }
 
 /// The maximum number of addresses whose last start is remembered.
-const LEFT_MOST: usize = 4_096;
+const MAX_DELISTED: usize = 4_096;
 
 /// The requirements of a request on its target.
 #[derive(Clone, Copy, Debug)]
@@ -90,35 +90,35 @@
 
 /// The maximum round-trip time of a fast path to a target, in milliseconds:
 /// twenty times the longest between data centres.
-const QUICK_WAY_MS: u64 = 110;
+const FAST_ROUND_TRIP_MS: u64 = 110;
 
 /// The share of a target's slots that is reserved for their owners: an entry
 /// host without a slot of its own there sends only while more are free.
-const LENT_FREE_SHARE: f64 = 0.1;
+const OWNERS_RESERVE_SHARE: f64 = 0.1;
 
 /// How long computed shares are used, in milliseconds. A target that swaps
 /// weights is away for about a second.
-const SHARES_FRESH_MS: u64 = 50;
+const SHARES_UPDATE_MS: u64 = 50;
 
 /// The share of a target's slots that late requests leave free for those that
 /// can still meet their goal.
-const KEPT_FREE_SHARE: f64 = 0.2;
+const LATE_RESERVE_SHARE: f64 = 0.2;
 
 /// The maximum number of entry hosts that consider the same target. Six entry
 /// hosts in three data centres count as three, and each considers all targets.
-const ALIKE_MOST: f64 = 3.5;
+const MAX_HOSTS_PER_TARGET: f64 = 3.5;
 
 /// The minimum number of candidates that are considered for a request: the
 /// better of two balances load nearly as well as the best of all.
-const LOOKED_AT_LEAST: usize = 2;
+const MIN_CONSIDERED: usize = 2;
 
 /// The usual time of a request to a service without an engine, in
 /// milliseconds.
-const PLAIN_RUN_MS: f64 = 50.0;
+const DEFAULT_RUN_MS: f64 = 50.0;
 
 /// The cost of sending to another data centre, in milliseconds: the round
 /// trip, and the price of its bytes.
-const CROSSING_MS: f64 = 28.0;
+const CROSSING_COST_MS: f64 = 28.0;
 
 impl Targets {
     /// Creates an empty set.
@@ -131,7 +131,7 @@
     pub fn set_senders(&mut self, senders: f64, shares: Shares) {
         self.senders = senders;
         self.shares = shares;
-        self.shared_ms.clear();
+        self.shares_updated_ms.clear();
     }
 
     /// Sets the number of entry hosts that may exist but are not heard: they
@@ -148,11 +148,11 @@
     /// Recomputes which slots of a service's targets this entry host owns,
     /// unless that was done recently: targets come and go.
     pub fn update_own_slots(&mut self, now_ms: u64, service: &Service) {
-        let last_ms = self.shared_ms.get(&service.name);
-        if last_ms.is_some_and(|ms| now_ms < ms + SHARES_FRESH_MS) {
+        let last_ms = self.shares_updated_ms.get(&service.name);
+        if last_ms.is_some_and(|ms| now_ms < ms + SHARES_UPDATE_MS) {
             return;
         }
-        self.shared_ms.insert(service.name.clone(), now_ms);
+        self.shares_updated_ms.insert(service.name.clone(), now_ms);
         let parts = self.shares.parts(&self.supplies(now_ms, service));
         let of_service = self
             .by_id
@@ -190,8 +190,8 @@
             target.lapse = None;
             let is_moved = target.spec.address != spec.address
                 || target.spec.service != spec.service;
-            let is_born_again = target.spec.born_ms != spec.born_ms;
-            if !is_moved && !is_born_again {
+            let is_restarted = target.spec.born_ms != spec.born_ms;
+            if !is_moved && !is_restarted {
                 target.spec = spec;
                 return;
             }
@@ -201,10 +201,10 @@
         {
             self.remove(&before);
         }
-        let left = self.left.remove(&spec.address);
+        let delisted = self.delisted.remove(&spec.address);
         // An entry that lapsed may return unchanged.
         let start = StartId::of(&spec);
-        self.ended.extend(left.filter(|end| end.start != start));
+        self.ended.extend(delisted.filter(|end| end.start != start));
         let ids = self.by_service.entry(spec.service.clone()).or_default();
         ids.push(id.clone());
         self.by_id.insert(id, Target::new(spec));
@@ -233,11 +233,11 @@
     /// Removes a target.
     pub fn remove(&mut self, id: &str) {
         let Some(target) = self.by_id.remove(id) else { return };
-        if self.left.len() >= LEFT_MOST {
-            self.left.clear();
+        if self.delisted.len() >= MAX_DELISTED {
+            self.delisted.clear();
         }
         let end = target.end(None, EndSign::Replaced);
-        self.left.insert(target.spec.address, end);
+        self.delisted.insert(target.spec.address, end);
         let address = target.spec.address;
         if self.by_address.get(&address).is_some_and(|known| &**known == id) {
             self.by_address.remove(&address);
@@ -270,7 +270,7 @@
         address: SocketAddr,
         report: TargetReport,
     ) -> bool {
-        let Some(target) = self.at_address(address) else { return false };
+        let Some(target) = self.target_at(address) else { return false };
         if target.note_report(now_ms, report) {
             let end = target.end(Some(now_ms), EndSign::Unanswered);
             self.ended.push(end);
@@ -286,7 +286,7 @@
         address: SocketAddr,
         report: TargetReport,
     ) {
-        let Some(target) = self.at_address(address) else { return };
+        let Some(target) = self.target_at(address) else { return };
         if target.note_relayed_report(at_ms, report) {
             let end = target.end(Some(at_ms), EndSign::Unanswered);
             self.ended.push(end);
@@ -298,7 +298,7 @@
         std::mem::take(&mut self.ended)
     }
 
-    fn at_address(&mut self, address: SocketAddr) -> Option<&mut Target> {
+    fn target_at(&mut self, address: SocketAddr) -> Option<&mut Target> {
         let id = self.by_address.get(&address)?;
         self.by_id.get_mut(id)
     }
@@ -405,8 +405,8 @@
         let (here, elsewhere): (Vec<&Target>, Vec<&Target>) = self
             .candidates(now_ms, need)
             .partition(|target| *target.spec.data_centre == *need.data_centre);
-        self.looked_at(&here, draw)
-            .chain(self.looked_at(&elsewhere, draw))
+        self.considered(&here, draw)
+            .chain(self.considered(&elsewhere, draw))
             .map(|target| (target, self.cost_for(target, now_ms, need)))
             .min_by(|a, b| a.1.total_cmp(&b.1))
             .map(|(target, _)| target)
@@ -433,11 +433,11 @@
         let fitting = move || {
             fitting().filter(move |target| !has_staying || stays(target))
         };
-        let is_quick =
+        let is_fast =
             move |target: &&Target| !target.is_path_presumed_slow(now_ms);
-        let has_quick = fitting().any(|target| is_quick(&target));
+        let has_fast = fitting().any(|target| is_fast(&target));
         fitting()
-            .filter(move |target| !has_quick || is_quick(target))
+            .filter(move |target| !has_fast || is_fast(target))
             .filter(move |target| self.has_room(target, now_ms, need))
     }
 
@@ -451,23 +451,23 @@
 
     /// Returns a sample of the candidates, starting at a random one and large
     /// enough for about [`MAX_HOSTS_PER_TARGET`] entry hosts to consider each.
-    fn looked_at<'a>(
+    fn considered<'a>(
         &self,
         candidates: &[&'a Target],
         draw: u32,
     ) -> impl Iterator<Item = &'a Target> {
         let all = candidates.len();
-        let share = (ALIKE_MOST / self.senders.max(1.0)).min(1.0);
+        let share = (MAX_HOSTS_PER_TARGET / self.senders.max(1.0)).min(1.0);
         let count = (all as f64 * share).ceil() as usize;
         let first = (draw as usize).checked_rem(all).unwrap_or(0);
-        (0..count.max(LOOKED_AT_LEAST).min(all))
+        (0..count.max(MIN_CONSIDERED).min(all))
             .map(move |step| (first + step) % all)
             .map(|place| candidates[place])
     }
 
     /// Returns the number of entry hosts that compete for the same targets.
-    fn alike(&self) -> f64 {
-        self.senders.clamp(1.0, ALIKE_MOST)
+    fn competing_hosts(&self) -> f64 {
+        self.senders.clamp(1.0, MAX_HOSTS_PER_TARGET)
     }
 
     /// Returns whether a target has room for a request. A target whose version
@@ -488,22 +488,27 @@
         }
         let slots = f64::from(target.spec.slots);
         let spare = match (need.is_late, is_old) {
-            (true, _) => -KEPT_FREE_SHARE * slots,
+            (true, _) => -LATE_RESERVE_SHARE * slots,
             (false, true) => 0.0,
             (false, false) if target.has_own_room(now_ms) => return true,
-            (false, false) => -LENT_FREE_SHARE * slots,
+            (false, false) => -OWNERS_RESERVE_SHARE * slots,
         };
         let competitors = self.shares.competitors(&target.spec.data_centre);
-        target.has_borrowable_room(now_ms, self.alike(), spare, competitors)
+        target.has_borrowable_room(
+            now_ms,
+            self.competing_hosts(),
+            spare,
+            competitors,
+        )
     }
 
     fn cost_for(&self, target: &Target, now_ms: u64, need: Need<'_>) -> f64 {
         let crossing = if &*target.spec.data_centre == need.data_centre {
             0.0
         } else {
-            CROSSING_MS
+            CROSSING_COST_MS
         };
-        target.cost_ms(now_ms, self.alike()) + crossing
+        target.cost_ms(now_ms, self.competing_hosts()) + crossing
     }
 }
 
@@ -511,7 +516,7 @@
 /// milliseconds.
 fn run_ms(service: &Service) -> f64 {
     let engine = service.engine.as_ref();
-    engine.map_or(PLAIN_RUN_MS, EngineSpec::usual_run_ms).max(1.0)
+    engine.map_or(DEFAULT_RUN_MS, EngineSpec::usual_run_ms).max(1.0)
 }
 
 /// Returns whether a request that is sent now will start on a version that may
@@ -526,8 +531,10 @@
     let worst_ms = target.worst_round_trip_ms(now_ms);
     let is_slow = target.is_slow(now_ms);
     bounds.iter().filter(|bound| bound.version > serves).all(|bound| {
-        let is_near = bound.left_ms < NEAR_BOUND_MS;
-        let is_quick = worst_ms <= QUICK_WAY_MS;
-        bound.left_ms > SEND_MARGIN_MS && !is_slow && (is_quick || !is_near)
+        let is_bound_near = bound.left_ms < NEAR_BOUND_MS;
+        let is_fast = worst_ms <= FAST_ROUND_TRIP_MS;
+        bound.left_ms > SEND_MARGIN_MS
+            && !is_slow
+            && (is_fast || !is_bound_near)
     })
 }
--- a/crates/raildale-core/src/gateway/targets/notice_limits.rs
+++ b/crates/raildale-core/src/gateway/targets/notice_limits.rs
@@ -16,14 +16,14 @@
     /// names.
     pub fn use_token(&mut self, now_ms: u64, id: &str) {
         let Some(target) = self.by_id.get(id) else { return };
-        let part = own_part(&self.parts, self.heard_share(), target);
+        let part = own_part(&self.parts, self.alive_share(), target);
         self.notices.note_sent(now_ms, target.start, part);
     }
 
     /// Returns whether a target's notices allow one more request of this entry
     /// host.
     pub(super) fn is_admitted(&self, now_ms: u64, target: &Target) -> bool {
-        let part = own_part(&self.parts, self.heard_share(), target);
+        let part = own_part(&self.parts, self.alive_share(), target);
         self.notices.admits(now_ms, target.start, part)
     }
 
@@ -31,7 +31,7 @@
     /// keep their part of a limit. A host that knows no others yet uses
     /// nothing: otherwise each host that had just started would use the whole
     /// limit.
-    fn heard_share(&self) -> f64 {
+    fn alive_share(&self) -> f64 {
         if self.is_fleet_unknown {
             return 0.0;
         }
@@ -82,22 +82,22 @@
     pub fn blocked_ms(&self, now_ms: u64, need: Need<'_>) -> u64 {
         let fitting =
             self.of(need.service).filter(|t| self.fits(t, now_ms, need));
-        let mut least_ms = u64::MAX;
+        let mut min_ms = u64::MAX;
         for target in fitting {
             let blocked_ms = self.notices.blocked_ms(now_ms, target.start);
             if blocked_ms == 0 {
                 return 0;
             }
-            least_ms = least_ms.min(blocked_ms);
+            min_ms = min_ms.min(blocked_ms);
         }
-        if least_ms == u64::MAX { 0 } else { least_ms }
+        if min_ms == u64::MAX { 0 } else { min_ms }
     }
 }
 
 /// Returns this entry host's part of a target's limit.
 fn own_part<'a>(
     parts: &'a HashMap<Name, Parts>,
-    heard_share: f64,
+    alive_share: f64,
     target: &'a Target,
 ) -> impl FnOnce() -> OwnPart + 'a {
     move || {
@@ -105,6 +105,6 @@
         let part = parts.map_or(OwnPart::ALL, |parts| {
             parts.own_part(&target.spec.data_centre)
         });
-        part.scaled(heard_share)
+        part.scaled(alive_share)
     }
 }
