--- a/crates/raildale-core/src/gateway/quarantine/gossip.rs
+++ b/crates/raildale-core/src/gateway/quarantine/gossip.rs
@@ -1,6 +1,6 @@
 //! Exchange of suspects between entry hosts, with each heartbeat.
 
-use super::{CLEARED_KEPT_MS, Quarantine, Suspect};
+use super::{CLEARED_RETENTION_MS, Quarantine, Suspect};
 use crate::{
     fleet_message::{ToldLoss, ToldSuspect},
     gateway::{fingerprint::Fingerprint, target_end::StartId},
@@ -8,7 +8,7 @@
 
 /// The maximum number of suspects in one heartbeat: 1.5 KB with three losses
 /// each.
-const TOLD_MOST: usize = 24;
+const MAX_SUSPECTS_PER_HEARTBEAT: usize = 24;
 
 impl Quarantine {
     /// Returns the suspects to send to other entry hosts, those with the most
@@ -23,20 +23,20 @@
         ranked.sort_unstable_by_key(|one| std::cmp::Reverse(one.0));
         ranked
             .into_iter()
-            .take(TOLD_MOST)
-            .map(|(_, f, s)| tell(now_ms, *f, s))
+            .take(MAX_SUSPECTS_PER_HEARTBEAT)
+            .map(|(_, f, s)| to_message(now_ms, *f, s))
             .collect()
     }
 
     /// Merges suspects received from another entry host.
     pub fn merge_remote(&mut self, now_ms: u64, told: Vec<ToldSuspect>) {
-        let mut is_news = false;
+        let mut has_changed = false;
         for suspect in told {
-            is_news |= self.merge(now_ms, suspect);
+            has_changed |= self.merge(now_ms, suspect);
         }
-        self.make_room(now_ms);
-        if is_news {
-            self.settle();
+        self.enforce_limit(now_ms);
+        if has_changed {
+            self.update_culprits();
         }
     }
 
@@ -45,16 +45,16 @@
         let fingerprint =
             Fingerprint { caller: told.caller, request: told.request };
         let known = self.suspects.entry(fingerprint).or_default();
-        let cleared = told
+        let was_cleared = told
             .cleared_age_ms
             .is_some_and(|age_ms| known.clear(now_ms.saturating_sub(age_ms)));
-        let mut is_news = cleared;
+        let mut has_changed = was_cleared;
         for loss in told.losses {
             let start = StartId(loss.start);
             let at_ms = now_ms.saturating_sub(loss.age_ms);
-            is_news |= known.lose(start, at_ms, loss.is_cut);
+            has_changed |= known.add_loss(start, at_ms, loss.is_cut);
         }
-        is_news
+        has_changed
     }
 }
 
@@ -66,13 +66,14 @@
 /// cleared it recently.
 fn rank(now_ms: u64, suspect: &Suspect) -> Option<Rank> {
     let counted = suspect.losses().iter().filter(|loss| !loss.is_cut).count();
-    let is_cleared =
-        suspect.cleared_ms().is_some_and(|ms| now_ms < ms + CLEARED_KEPT_MS);
+    let is_cleared = suspect
+        .cleared_ms()
+        .is_some_and(|ms| now_ms < ms + CLEARED_RETENTION_MS);
     let rank = (counted, suspect.last_ms());
     (counted > 0 || is_cleared).then_some(rank)
 }
 
-fn tell(
+fn to_message(
     now_ms: u64,
     fingerprint: Fingerprint,
     suspect: &Suspect,
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -52,7 +52,7 @@
 /// The number of losses from which a culprit is certain and is not tried again
 /// soon. Trials lose two more of a culprit's targets; most sound requests with
 /// three losses by chance are answered at the first trial.
-const SURE_LOSSES: usize = 5;
+const CERTAIN_LOSSES: usize = 5;
 
 /// The share of a service's targets that end within [`TOGETHER_MS`] of one
 /// another in a cut. Culprits can't end as many again and again, because a
@@ -60,7 +60,7 @@
 const CUT_SHARE: f64 = 0.3;
 
 /// The minimum number of targets that end together in a cut.
-const CUT_LEAST: f64 = 3.0;
+const MIN_CUT_ENDS: f64 = 3.0;
 
 /// The time after the last loss from which a culprit that is not certain is
 /// tried again, in milliseconds. A target that ended is listed as another
@@ -79,30 +79,30 @@
 /// How long a broken attempt waits for evidence that its target has ended, in
 /// milliseconds. Without an agent, that evidence is the list of targets, after
 /// three missed heartbeats and a start.
-const SIGN_WITHIN_MS: u64 = 10_000;
+const EVIDENCE_TIMEOUT_MS: u64 = 10_000;
 
 /// How long a broken attempt still counts as in flight, in milliseconds.
 /// Evidence from an agent in another data centre arrives within that time.
-const SETTLE_MS: u64 = 500;
+const BROKEN_IN_FLIGHT_MS: u64 = 500;
 
 /// How long an end is remembered, in milliseconds: longer than any evidence of
 /// it takes.
-const END_KEPT_MS: u64 = 60_000;
+const END_RETENTION_MS: u64 = 60_000;
 
 /// How long a suspect is remembered after its last loss, in milliseconds:
 /// twice the duration of a quarantine, so that a trial finds its losses.
-const SUSPECT_KEPT_MS: u64 = 2 * QUARANTINE_MS;
+const SUSPECT_RETENTION_MS: u64 = 2 * QUARANTINE_MS;
 
 /// How long an answer that cleared a suspect is sent to other entry hosts, in
 /// milliseconds: many heartbeats, and digests after them.
-const CLEARED_KEPT_MS: u64 = 10_000;
+const CLEARED_RETENTION_MS: u64 = 10_000;
 
 /// The maximum number of suspects, which take about 200 KB.
-const SUSPECTS_MOST: usize = 1_024;
+const MAX_SUSPECTS: usize = 1_024;
 
 /// The maximum number of broken attempts that wait for evidence, and of ends
 /// that are remembered.
-const KEPT_MOST: usize = 2_048;
+const MAX_REMEMBERED: usize = 2_048;
 
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -189,21 +189,21 @@
             return Permission::Allowed;
         };
         let losses = self.unexplained(fingerprint, suspect);
-        let is_busy = self.is_busy(now_ms, fingerprint);
+        let is_in_flight = self.is_in_flight(now_ms, fingerprint);
         if !is_culprit(&losses) {
             let is_guarded = losses.len() >= GUARDED_LOSSES;
-            return match is_guarded && is_busy {
+            return match is_guarded && is_in_flight {
                 true => Permission::Pending,
                 false => Permission::Allowed,
             };
         }
-        let pause_ms = match losses.len() < SURE_LOSSES {
+        let pause_ms = match losses.len() < CERTAIN_LOSSES {
             true => TRIAL_PAUSE_MS,
             false => QUARANTINE_MS,
         };
         let due_ms = suspect.last_ms() + pause_ms;
         let is_due = now_ms >= due_ms;
-        match is_due && !is_busy && self.is_owner(fingerprint) {
+        match is_due && !is_in_flight && self.is_owner(fingerprint) {
             true => Permission::Allowed,
             false if is_due => Permission::Denied(TRIAL_PAUSE_MS),
             false => Permission::Denied(due_ms - now_ms),
@@ -212,10 +212,10 @@
 
     /// Returns whether a try of the fingerprint is in flight or has just
     /// broken off.
-    fn is_busy(&self, now_ms: u64, fingerprint: Fingerprint) -> bool {
+    fn is_in_flight(&self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         let has_broken = self.broken.iter().any(|broken| {
             broken.fingerprint == fingerprint
-                && now_ms < broken.at_ms + SETTLE_MS
+                && now_ms < broken.at_ms + BROKEN_IN_FLIGHT_MS
         });
         has_broken || self.in_flight.contains_key(&fingerprint)
     }
@@ -245,9 +245,9 @@
         self.broken.push_back(Broken { fingerprint, start, at_ms });
         let known = self.ends.iter().find(|end| end.start == start);
         if let Some(end) = known.copied() {
-            self.lose(now_ms, fingerprint, end);
+            self.add_loss(now_ms, fingerprint, end);
         }
-        keep_young(&mut self.broken, now_ms, SIGN_WITHIN_MS, |b| b.at_ms);
+        drop_old(&mut self.broken, now_ms, EVIDENCE_TIMEOUT_MS, |b| b.at_ms);
     }
 
     /// Records evidence, observed at `at_ms`, that a start has ended, one of
@@ -263,8 +263,8 @@
         if self.ends.iter().any(|end| end.start == start) {
             return;
         }
-        keep_young(&mut self.broken, now_ms, SIGN_WITHIN_MS, |b| b.at_ms);
-        keep_young(&mut self.ends, now_ms, END_KEPT_MS, |end| end.at_ms);
+        drop_old(&mut self.broken, now_ms, EVIDENCE_TIMEOUT_MS, |b| b.at_ms);
+        drop_old(&mut self.ends, now_ms, END_RETENTION_MS, |end| end.at_ms);
         let (lost, broke_ms): (Vec<Fingerprint>, Vec<u64>) = self
             .broken
             .iter()
@@ -276,9 +276,9 @@
         self.ends.push_back(end);
         self.note_cut(end);
         for fingerprint in lost {
-            self.lose(now_ms, fingerprint, end);
+            self.add_loss(now_ms, fingerprint, end);
         }
-        self.settle();
+        self.update_culprits();
     }
 
     /// Records that nothing listens at the address of a start, one of `of`
@@ -303,7 +303,7 @@
             return;
         };
         if !suspect.losses().is_empty() && suspect.clear(now_ms) {
-            self.settle();
+            self.update_culprits();
         }
     }
 
@@ -347,16 +347,16 @@
     /// Removes suspects that are too old.
     pub fn sweep(&mut self, now_ms: u64) {
         self.suspects.retain(|_, suspect| !suspect.is_over(now_ms));
-        self.settle();
+        self.update_culprits();
     }
 
-    fn lose(&mut self, now_ms: u64, fingerprint: Fingerprint, end: End) {
+    fn add_loss(&mut self, now_ms: u64, fingerprint: Fingerprint, end: End) {
         let is_cut = self.is_cut(end);
         let suspect = self.suspects.entry(fingerprint).or_default();
-        let is_news = suspect.lose(end.start, end.at_ms, is_cut);
-        self.is_urgent |= is_news && !is_cut;
-        self.make_room(now_ms);
-        self.settle();
+        let has_changed = suspect.add_loss(end.start, end.at_ms, is_cut);
+        self.is_urgent |= has_changed && !is_cut;
+        self.enforce_limit(now_ms);
+        self.update_culprits();
     }
 
     /// Returns whether a start ended together with a large part of its
@@ -365,7 +365,7 @@
         let is_near =
             |other: &&End| other.at_ms.abs_diff(end.at_ms) <= TOGETHER_MS;
         let together = self.ends.iter().filter(is_near).count() as f64;
-        together >= (f64::from(end.of) * CUT_SHARE).max(CUT_LEAST)
+        together >= (f64::from(end.of) * CUT_SHARE).max(MIN_CUT_ENDS)
     }
 
     /// Marks the losses at about the time of an end as lost in a cut, if that
@@ -387,19 +387,19 @@
         suspect: &Suspect,
     ) -> Vec<suspect::Loss> {
         let culprits = self.culprits.iter().filter(|c| **c != fingerprint);
-        let guiltier: Vec<&Suspect> = culprits
+        let larger: Vec<&Suspect> = culprits
             .filter_map(|culprit| self.suspects.get(culprit))
             .filter(|other| other.losses().len() > suspect.losses().len())
             .collect();
         let is_explained = |loss: &&suspect::Loss| {
-            guiltier.iter().any(|other| other.has_lost(loss.start))
+            larger.iter().any(|other| other.has_lost(loss.start))
         };
         let losses = suspect.losses().iter();
         losses.filter(|loss| !is_explained(loss)).copied().collect()
     }
 
     /// Recomputes the set of culprits and records the changes.
-    fn settle(&mut self) {
+    fn update_culprits(&mut self) {
         let now: BTreeSet<Fingerprint> = self
             .suspects
             .iter()
@@ -419,18 +419,18 @@
     }
 
     /// Drops suspects beyond the maximum number.
-    fn make_room(&mut self, now_ms: u64) {
-        if self.suspects.len() > SUSPECTS_MOST {
+    fn enforce_limit(&mut self, now_ms: u64) {
+        if self.suspects.len() > MAX_SUSPECTS {
             self.suspects.retain(|_, suspect| !suspect.is_over(now_ms));
         }
-        while self.suspects.len() > SUSPECTS_MOST {
-            self.drop_one();
+        while self.suspects.len() > MAX_SUSPECTS {
+            self.drop_suspect();
         }
     }
 
     /// Drops one suspect: of the caller with the most suspects, the one with
     /// the fewest losses, so that no caller displaces another's suspects.
-    fn drop_one(&mut self) {
+    fn drop_suspect(&mut self) {
         let mut counts: HashMap<u32, usize> = HashMap::new();
         for fingerprint in self.suspects.keys() {
             *counts.entry(fingerprint.caller).or_default() += 1;
@@ -453,20 +453,20 @@
     let outside: Vec<suspect::Loss> =
         losses.iter().filter(|loss| !loss.is_cut).copied().collect();
     let is_alone = outside.len() >= CULPRIT_LOSSES
-        && suspect::moments(&outside) >= CULPRIT_MOMENTS;
-    is_alone || suspect::moments(losses) >= CUT_MOMENTS
+        && suspect::count_moments(&outside) >= CULPRIT_MOMENTS;
+    is_alone || suspect::count_moments(losses) >= CUT_MOMENTS
 }
 
 /// Removes entries older than `max_age_ms`, and the oldest ones beyond the
 /// maximum number.
-fn keep_young<T>(
+fn drop_old<T>(
     kept: &mut VecDeque<T>,
     now_ms: u64,
-    most_ms: u64,
+    max_age_ms: u64,
     at_ms: impl Fn(&T) -> u64,
 ) {
-    while kept.len() >= KEPT_MOST
-        || kept.front().is_some_and(|first| now_ms > at_ms(first) + most_ms)
+    while kept.len() >= MAX_REMEMBERED
+        || kept.front().is_some_and(|first| now_ms > at_ms(first) + max_age_ms)
     {
         kept.pop_front();
     }
--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -1,7 +1,7 @@
 //! Records of culprits in the platform's store, which outlast a restart of all
 //! entry hosts.
 
-use super::{Quarantine, SURE_LOSSES, SUSPECT_KEPT_MS};
+use super::{CERTAIN_LOSSES, Quarantine, SUSPECT_RETENTION_MS};
 use crate::{
     fleet_message::{ToldLoss, ToldSuspect},
     gateway::{fingerprint::Fingerprint, target_end::StartId},
@@ -18,7 +18,7 @@
 
 /// How much later than a stored loss another has to be for the record to be
 /// written again, in milliseconds. Copies that were lost together are not.
-const LATER_MS: u64 = 60_000;
+const MIN_REWRITE_MS: u64 = 60_000;
 
 impl Record {
     /// Returns when the last start was lost, in Unix milliseconds; 0 if there
@@ -33,14 +33,15 @@
     /// one.
     pub fn adds_to(&self, stored: Option<&Record>) -> bool {
         let Some(stored) = stored else { return true };
-        let is_later = self.last_unix_ms() > stored.last_unix_ms() + LATER_MS;
-        let known = self.losses.len().min(SURE_LOSSES);
+        let is_later =
+            self.last_unix_ms() > stored.last_unix_ms() + MIN_REWRITE_MS;
+        let known = self.losses.len().min(CERTAIN_LOSSES);
         stored.losses.len() < known || is_later
     }
 
     /// Returns whether its losses are too old to be used.
     pub fn is_over(&self, unix_ms: u64) -> bool {
-        unix_ms > self.last_unix_ms() + SUSPECT_KEPT_MS
+        unix_ms > self.last_unix_ms() + SUSPECT_RETENTION_MS
     }
 }
 
--- a/crates/raildale-core/src/gateway/quarantine/suspect.rs
+++ b/crates/raildale-core/src/gateway/quarantine/suspect.rs
@@ -1,10 +1,10 @@
 //! The starts of targets that one fingerprint has lost.
 
-use super::{CLEARED_KEPT_MS, SUSPECT_KEPT_MS, TOGETHER_MS};
+use super::{CLEARED_RETENTION_MS, SUSPECT_RETENTION_MS, TOGETHER_MS};
 use crate::gateway::target_end::StartId;
 
 /// The maximum number of losses that are kept of one fingerprint.
-const LOSSES_MOST: usize = 16;
+const MAX_LOSSES: usize = 16;
 
 /// A start of a target that ended while a request was there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,20 +43,25 @@
     }
 
     /// Adds a loss. Returns whether this changed anything.
-    pub fn lose(&mut self, start: StartId, at_ms: u64, is_cut: bool) -> bool {
+    pub fn add_loss(
+        &mut self,
+        start: StartId,
+        at_ms: u64,
+        is_cut: bool,
+    ) -> bool {
         let is_cleared = self.cleared_ms.is_some_and(|ms| at_ms <= ms);
         let known = self.losses.iter_mut().find(|loss| loss.start == start);
         if let Some(known) = known {
-            let is_news = is_cut && !known.is_cut;
+            let has_changed = is_cut && !known.is_cut;
             known.is_cut |= is_cut;
-            return is_news;
+            return has_changed;
         }
         if is_cleared {
             return false;
         }
         self.losses.push(Loss { start, at_ms, is_cut });
-        if self.losses.len() > LOSSES_MOST {
-            self.drop_nearest();
+        if self.losses.len() > MAX_LOSSES {
+            self.drop_closest();
         }
         true
     }
@@ -64,7 +69,7 @@
     /// Drops the loss that came soonest after another one, so that copies lost
     /// at one moment don't hide later moments. The first and the last are
     /// kept.
-    fn drop_nearest(&mut self) {
+    fn drop_closest(&mut self) {
         self.losses.sort_by_key(|loss| loss.at_ms);
         let gaps = self.losses.windows(2).map(|l| l[1].at_ms - l[0].at_ms);
         let inner = gaps.enumerate().take(self.losses.len() - 2);
@@ -98,8 +103,9 @@
 
     /// Returns whether the suspect can be forgotten.
     pub fn is_over(&self, now_ms: u64) -> bool {
-        let told_ms = self.cleared_ms.map_or(0, |ms| ms + CLEARED_KEPT_MS);
-        let lost_ms = self.last_ms() + SUSPECT_KEPT_MS;
+        let told_ms =
+            self.cleared_ms.map_or(0, |ms| ms + CLEARED_RETENTION_MS);
+        let lost_ms = self.last_ms() + SUSPECT_RETENTION_MS;
         let is_empty = self.losses.is_empty();
         now_ms > told_ms && (is_empty || now_ms > lost_ms)
     }
@@ -108,7 +114,7 @@
 /// Returns the number of distinct moments of some losses. A loss begins a new
 /// moment if it comes more than `TOGETHER_MS` after the first loss of the
 /// current one: a series without pauses is not a single moment.
-pub fn moments(losses: &[Loss]) -> usize {
+pub fn count_moments(losses: &[Loss]) -> usize {
     let mut times: Vec<u64> = losses.iter().map(|loss| loss.at_ms).collect();
     times.sort_unstable();
     let mut count = 0;
