--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -18,12 +18,12 @@
 
 /// The time after learning of a limit until the counts of the other entry
 /// hosts are known, in milliseconds: a little more than a heartbeat interval.
-const UNTOLD_MS: u64 = 500;
+const COUNTS_PENDING_MS: u64 = 500;
 
 /// The minimum rate that is used, in requests per second. A target that
 /// accepts none is still tried now and then, since only an answer can end its
 /// limit.
-const LEAST_PER_S: f64 = 0.1;
+const MIN_PER_S: f64 = 0.1;
 
 /// The times at which this entry host sent requests to a start, within
 /// [`WINDOW_MS`].
@@ -49,7 +49,7 @@
 /// The number of requests that another entry host reported to have sent to a
 /// start within the window.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct PeerCount {
     at_ms: u64,
     count: u32,
 }
@@ -60,35 +60,35 @@
     /// The limit in requests per second; `None` if there is none.
     pub(super) per_s: Option<f64>,
     /// When the start last stated the limit or its end.
-    pub(super) said_ms: u64,
+    pub(super) stated_ms: u64,
     /// The last token that was used, as a time of day in seconds.
     used_s: f64,
     /// Until when the counts of the other entry hosts may be outstanding.
-    untold_until_ms: u64,
+    counts_pending_until_ms: u64,
     /// The requests of the other entry hosts.
-    others: HashMap<IpAddr, Sent>,
+    others: HashMap<IpAddr, PeerCount>,
 }
 
 impl Limit {
     /// Applies a limit, or its end, that was stated at `stated_ms`, unless a
     /// later statement is known. `now_s` is the time of day in seconds.
     /// Returns the change, if there is one.
-    pub(super) fn say(
+    pub(super) fn update(
         &mut self,
         per_s: Option<f64>,
-        said_ms: u64,
+        stated_ms: u64,
         now_ms: u64,
         now_s: f64,
     ) -> Option<NoticeChange> {
-        if said_ms < self.said_ms {
+        if stated_ms < self.stated_ms {
             return None;
         }
-        self.said_ms = said_ms;
+        self.stated_ms = stated_ms;
         let before = std::mem::replace(&mut self.per_s, per_s);
         if before.is_none() && per_s.is_some() {
             // Requests in flight have used the tokens so far.
             self.used_s = now_s;
-            self.untold_until_ms = now_ms + UNTOLD_MS;
+            self.counts_pending_until_ms = now_ms + COUNTS_PENDING_MS;
         }
         let before = before.unwrap_or(f64::INFINITY);
         let now = per_s.unwrap_or(f64::INFINITY);
@@ -107,7 +107,7 @@
         from: IpAddr,
         count: u32,
     ) {
-        self.others.insert(from, Sent { at_ms: now_ms, count });
+        self.others.insert(from, PeerCount { at_ms: now_ms, count });
     }
 
     /// Removes counts that are too old.
@@ -136,14 +136,16 @@
         part: impl FnOnce() -> OwnPart,
     ) -> bool {
         let Some(quota) = self.quota(start, part) else { return true };
-        let most = quota.max_in(WINDOW_MS as f64 / 1e3);
+        let max_requests = quota.max_in(WINDOW_MS as f64 / 1e3);
         // Until the counts of the others are known, each may have sent as
         // much.
-        let is_in_doubt = now_ms < self.untold_until_ms;
-        if is_in_doubt && f64::from(own) > most * quota.part.width {
+        let are_counts_pending = now_ms < self.counts_pending_until_ms;
+        if are_counts_pending
+            && f64::from(own) > max_requests * quota.part.width
+        {
             return false;
         }
-        f64::from(self.sent_by_others(now_ms) + own) <= most
+        f64::from(self.sent_by_others(now_ms) + own) <= max_requests
             && quota.token(now_s, self.used_s).is_some()
     }
 
@@ -161,7 +163,7 @@
     /// Returns the milliseconds until the requests of all entry hosts are
     /// within the limit again, assuming that they were sent at an even rate; 0
     /// if they are now.
-    pub(super) fn over_ms(
+    pub(super) fn excess_ms(
         &self,
         now_ms: u64,
         start: StartId,
@@ -188,7 +190,7 @@
         start: StartId,
         part: impl FnOnce() -> OwnPart,
     ) -> Option<Quota> {
-        let per_s = self.per_s?.max(LEAST_PER_S);
+        let per_s = self.per_s?.max(MIN_PER_S);
         Some(Quota { start, per_s, part: part() })
     }
 }
--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -55,7 +55,7 @@
 /// The notices of all starts that have sent any.
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
-    by_start: HashMap<StartId, Known>,
+    by_start: HashMap<StartId, StartNotices>,
     /// The times of requests to each start.
     sent: HashMap<StartId, SentTimes>,
     /// The offset from the process's clock to the time of day, in
@@ -65,26 +65,26 @@
 
 /// The notices of one start.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct StartNotices {
     limit: Limit,
     /// When it last told this entry host that it is leaving.
     leaving_ms: Option<u64>,
     /// Whether another entry host reported that it is leaving.
     is_reported_leaving: bool,
     /// Until when it wants no requests from this entry host.
-    waits_until_ms: u64,
+    wait_until_ms: u64,
     /// Whether the notice in its last answer could not be decoded.
     is_malformed: bool,
 }
 
 /// How long the end of a limit is sent to other entry hosts, in milliseconds.
 /// Each of them hears of it within that time.
-const ENDED_TOLD_MS: u64 = 10_000;
+const LIMIT_END_SHARED_MS: u64 = 10_000;
 
 /// How long it is remembered that a start is leaving after it is no longer
 /// listed, in milliseconds. Its entry may lapse and return with a store
 /// outage.
-const LEAVING_KEPT_MS: u64 = 600_000;
+const LEAVING_RETENTION_MS: u64 = 600_000;
 
 impl Notices {
     /// Creates an empty set of notices.
@@ -133,29 +133,35 @@
         sent_ms: u64,
         notice: TargetNotice,
     ) -> Vec<NoticeChange> {
-        let mut news = Vec::new();
-        let says_any = notice != TargetNotice::default();
-        if !says_any && !self.by_start.contains_key(&start) {
-            return news;
+        let mut changes = Vec::new();
+        let is_any_stated = notice != TargetNotice::default();
+        if !is_any_stated && !self.by_start.contains_key(&start) {
+            return changes;
         }
         let now_s = self.time_of_day_s(now_ms);
         let known = self.by_start.entry(start).or_default();
         if notice.is_malformed && !known.is_malformed {
-            news.push(NoticeChange::Malformed);
+            changes.push(NoticeChange::Malformed);
         }
         known.is_malformed = notice.is_malformed;
         if notice.is_leaving && known.leaving_ms.replace(now_ms).is_none() {
-            news.push(NoticeChange::Leaving);
+            changes.push(NoticeChange::Leaving);
         }
         if let Some(wait_ms) = notice.retry_after_ms {
-            news.extend(known.wait(now_ms, wait_ms));
+            changes.extend(known.set_wait(now_ms, wait_ms));
         }
         let limit_per_s = notice.limit_per_s;
         if limit_per_s.is_some() || !notice.is_malformed {
-            let said_ms = if limit_per_s.is_some() { now_ms } else { sent_ms };
-            news.extend(known.limit.say(limit_per_s, said_ms, now_ms, now_s));
+            let stated_ms =
+                if limit_per_s.is_some() { now_ms } else { sent_ms };
+            changes.extend(known.limit.update(
+                limit_per_s,
+                stated_ms,
+                now_ms,
+                now_s,
+            ));
         }
-        news
+        changes
     }
 
     /// Removes the notices of starts that are no longer listed, some time
@@ -164,8 +170,8 @@
         self.by_start.retain(|start, known| {
             let is_leaving = known
                 .leaving_ms
-                .is_some_and(|ms| now_ms < ms + LEAVING_KEPT_MS);
-            let is_new = now_ms < known.limit.said_ms + ENDED_TOLD_MS;
+                .is_some_and(|ms| now_ms < ms + LEAVING_RETENTION_MS);
+            let is_new = now_ms < known.limit.stated_ms + LIMIT_END_SHARED_MS;
             is_new || is_leaving || is_listed(*start)
         });
         for known in self.by_start.values_mut() {
@@ -184,7 +190,7 @@
         part: impl FnOnce() -> OwnPart,
     ) -> bool {
         let Some(known) = self.by_start.get(&start) else { return true };
-        if now_ms < known.waits_until_ms {
+        if now_ms < known.wait_until_ms {
             return false;
         }
         let own = self.sent_lately(now_ms, start);
@@ -197,9 +203,9 @@
     /// all entry hosts are within its limit. 0 if it accepts them now.
     pub fn blocked_ms(&self, now_ms: u64, start: StartId) -> u64 {
         let Some(known) = self.by_start.get(&start) else { return 0 };
-        let waits_ms = known.waits_until_ms.saturating_sub(now_ms);
+        let waits_ms = known.wait_until_ms.saturating_sub(now_ms);
         let own = self.sent_lately(now_ms, start);
-        waits_ms.max(known.limit.over_ms(now_ms, start, own))
+        waits_ms.max(known.limit.excess_ms(now_ms, start, own))
     }
 
     /// Counts a request sent to a start.
@@ -227,13 +233,13 @@
     }
 }
 
-impl Known {
+impl StartNotices {
     /// Records that it wants no requests from this entry host for `wait_ms`.
-    fn wait(&mut self, now_ms: u64, wait_ms: u64) -> Option<NoticeChange> {
-        let is_waiting = now_ms < self.waits_until_ms;
+    fn set_wait(&mut self, now_ms: u64, wait_ms: u64) -> Option<NoticeChange> {
+        let is_waiting = now_ms < self.wait_until_ms;
         let until_ms = now_ms.saturating_add(wait_ms);
-        self.waits_until_ms = self.waits_until_ms.max(until_ms);
-        let is_news = !is_waiting && wait_ms > 0;
-        is_news.then_some(NoticeChange::Waits(wait_ms))
+        self.wait_until_ms = self.wait_until_ms.max(until_ms);
+        let has_changed = !is_waiting && wait_ms > 0;
+        has_changed.then_some(NoticeChange::Waits(wait_ms))
     }
 }
--- a/crates/raildale-core/src/gateway/notices/quota.rs
+++ b/crates/raildale-core/src/gateway/notices/quota.rs
@@ -11,14 +11,14 @@
 
 /// How long a token may be used, in seconds. This limits a burst to the
 /// requests of one second.
-const KEPT_S: f64 = 1.0;
+const TOKEN_LIFETIME_S: f64 = 1.0;
 
 /// The maximum number of tokens that are searched for an own one.
-const LOOKED_AT_MOST: u64 = 1_024;
+const MAX_TOKENS_SEARCHED: u64 = 1_024;
 
 /// 2^64 divided by the golden ratio, whose multiples modulo 2^64 are evenly
 /// spread.
-const GOLDEN: u64 = 0x9E37_79B9_7F4A_7C15;
+const GOLDEN_RATIO_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The part of a limit that this entry host owns, as an interval that begins
 /// at `before` within 0 to 1.
@@ -63,10 +63,10 @@
     /// rounded to a time before it, so that the same token would be found
     /// again.
     pub fn token(&self, now_s: f64, after_s: f64) -> Option<f64> {
-        let from_s = after_s.max(now_s - KEPT_S);
+        let from_s = after_s.max(now_s - TOKEN_LIFETIME_S);
         let last = (now_s * self.per_s) as u64;
         let first = (from_s * self.per_s) as u64 + 1;
-        let first = first.max(last.saturating_sub(LOOKED_AT_MOST));
+        let first = first.max(last.saturating_sub(MAX_TOKENS_SEARCHED));
         let number = (first..=last).find(|number| self.is_own(*number))?;
         Some((number as f64 + 0.5) / self.per_s)
     }
@@ -74,11 +74,12 @@
     /// Returns the maximum number of requests of all entry hosts in a time
     /// span: its tokens, and those kept from before it.
     pub fn max_in(&self, span_s: f64) -> f64 {
-        self.per_s * (span_s + KEPT_S)
+        self.per_s * (span_s + TOKEN_LIFETIME_S)
     }
 
     fn is_own(&self, number: u64) -> bool {
-        let place = number.wrapping_mul(GOLDEN).wrapping_add(self.start.0);
+        let place =
+            number.wrapping_mul(GOLDEN_RATIO_STEP).wrapping_add(self.start.0);
         self.part.holds(place as f64 / 2f64.powi(64))
     }
 }
