--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -242,8 +242,8 @@
         self.targets.update_own_slots(now_ms, &request.service);
         let model = request.model.as_deref();
         let bounds = self.version_bounds(now_ms, model);
-        let least_version =
-            model.map_or(0, |model| self.least_version(now_ms, model, 0));
+        let min_version =
+            model.map_or(0, |model| self.min_version(now_ms, model, 0));
         let need = self.need(now_ms, request, &bounds);
         let is_late = need.is_late;
         let picked = match self.wait_queues.is_next(now_ms, request) {
@@ -261,7 +261,7 @@
         let dispatch = Dispatch {
             target: target.spec.id.clone(),
             address: target.spec.address,
-            version: unconfirmed_version(target, now_ms, least_version),
+            version: unconfirmed_version(target, now_ms, min_version),
             urgency: match (is_late, request.last_event_ms) {
                 (true, _) => URGENCY_LATE,
                 (false, Some(_)) => URGENCY_RESUMED,
@@ -413,9 +413,9 @@
 fn unconfirmed_version(
     target: &Target,
     now_ms: u64,
-    least_version: u64,
+    min_version: u64,
 ) -> Option<u64> {
-    if least_version == 0 || target.report(now_ms).is_some() {
+    if min_version == 0 || target.report(now_ms).is_some() {
         return None;
     }
     target.spec.serves_version
--- a/crates/raildale-core/src/gateway/notices/gossip.rs
+++ b/crates/raildale-core/src/gateway/notices/gossip.rs
@@ -52,25 +52,25 @@
         &mut self,
         now_ms: u64,
         from: IpAddr,
-        told: &ToldNotice,
+        received: &ToldNotice,
     ) -> Vec<NoticeChange> {
         let mut changes = Vec::new();
-        let start = StartId(told.start);
+        let start = StartId(received.start);
         let is_rate = |rate: &f64| rate.is_finite() && *rate >= 0.0;
-        let limit_per_s = told.limit_per_s.filter(is_rate);
+        let limit_per_s = received.limit_per_s.filter(is_rate);
         let is_known = self.limit_per_s(start) == limit_per_s;
-        if is_known && limit_per_s.is_none() && !told.is_leaving {
+        if is_known && limit_per_s.is_none() && !received.is_leaving {
             return changes;
         }
         let now_s = self.time_of_day_s(now_ms);
         let known = self.by_start.entry(start).or_default();
-        if told.is_leaving && !known.is_reported_leaving {
+        if received.is_leaving && !known.is_reported_leaving {
             known.is_reported_leaving = true;
             changes.push(NoticeChange::Leaving);
         }
-        known.limit.note_other(now_ms, from, told.sent_lately);
+        known.limit.note_other(now_ms, from, received.sent_lately);
         if !is_known {
-            let stated_ms = now_ms.saturating_sub(told.age_ms);
+            let stated_ms = now_ms.saturating_sub(received.age_ms);
             changes.extend(known.limit.update(
                 limit_per_s,
                 stated_ms,
--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -179,8 +179,9 @@
     }
 
     fn sent_by_others(&self, now_ms: u64) -> u32 {
-        let told = self.others.values();
-        told.filter(|sent| now_ms < sent.at_ms + WINDOW_MS)
+        let counts = self.others.values();
+        counts
+            .filter(|sent| now_ms < sent.at_ms + WINDOW_MS)
             .map(|sent| sent.count)
             .sum()
     }
--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -142,12 +142,12 @@
         target: &str,
     ) -> bool {
         let Some(model) = &request.model else { return false };
-        let least = self.least_version(now_ms, model, WITHDRAW_MARGIN_MS);
+        let min_version = self.min_version(now_ms, model, WITHDRAW_MARGIN_MS);
         let serves = self
             .targets
             .get(target)
             .and_then(|known| known.serves_version(now_ms));
-        serves.is_some_and(|version| version < least)
+        serves.is_some_and(|version| version < min_version)
     }
 
     /// Returns why a request should be moved to another target after this one
--- a/crates/raildale-core/src/gateway/quarantine/gossip.rs
+++ b/crates/raildale-core/src/gateway/quarantine/gossip.rs
@@ -29,9 +29,9 @@
     }
 
     /// Merges suspects received from another entry host.
-    pub fn merge_remote(&mut self, now_ms: u64, told: Vec<ToldSuspect>) {
+    pub fn merge_remote(&mut self, now_ms: u64, received: Vec<ToldSuspect>) {
         let mut has_changed = false;
-        for suspect in told {
+        for suspect in received {
             has_changed |= self.merge(now_ms, suspect);
         }
         self.enforce_limit(now_ms);
@@ -41,15 +41,15 @@
     }
 
     /// Merges one received suspect; returns whether anything was new.
-    fn merge(&mut self, now_ms: u64, told: ToldSuspect) -> bool {
+    fn merge(&mut self, now_ms: u64, received: ToldSuspect) -> bool {
         let fingerprint =
-            Fingerprint { caller: told.caller, request: told.request };
+            Fingerprint { caller: received.caller, request: received.request };
         let known = self.suspects.entry(fingerprint).or_default();
-        let was_cleared = told
+        let was_cleared = received
             .cleared_age_ms
             .is_some_and(|age_ms| known.clear(now_ms.saturating_sub(age_ms)));
         let mut has_changed = was_cleared;
-        for loss in told.losses {
+        for loss in received.losses {
             let start = StartId(loss.start);
             let at_ms = now_ms.saturating_sub(loss.age_ms);
             has_changed |= known.add_loss(start, at_ms, loss.is_cut);
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -152,7 +152,7 @@
     broken: VecDeque<Broken>,
     ends: VecDeque<End>,
     in_flight: HashMap<Fingerprint, u32>,
-    news: Vec<CulpritChange>,
+    changes: Vec<CulpritChange>,
     /// Whether a loss is to be sent to other entry hosts at once.
     is_urgent: bool,
     /// The index of this entry host among those that are alive, and their
@@ -314,7 +314,7 @@
 
     /// Returns the changes of culprits since the last call.
     pub fn take_changes(&mut self) -> Vec<CulpritChange> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.changes)
     }
 
     /// Returns whether a loss has been found since the last call that other
@@ -409,7 +409,7 @@
             .collect();
         for fingerprint in now.symmetric_difference(&self.culprits) {
             let suspect = self.suspects.get(fingerprint);
-            self.news.push(CulpritChange {
+            self.changes.push(CulpritChange {
                 fingerprint: *fingerprint,
                 is_culprit: now.contains(fingerprint),
                 losses: suspect.map_or(0, |s| s.losses().len()),
@@ -435,15 +435,18 @@
         for fingerprint in self.suspects.keys() {
             *counts.entry(fingerprint.caller).or_default() += 1;
         }
-        let most = counts.into_iter().max_by_key(|(_, count)| *count);
-        let least = self
+        let busiest_caller =
+            counts.into_iter().max_by_key(|(_, count)| *count);
+        let dropped = self
             .suspects
             .iter()
-            .filter(|(f, _)| most.is_some_and(|(c, _)| c == f.caller))
+            .filter(|(f, _)| {
+                busiest_caller.is_some_and(|(c, _)| c == f.caller)
+            })
             .min_by_key(|(_, s)| (s.losses().len(), s.last_ms()))
             .map(|(fingerprint, _)| *fingerprint);
-        if let Some(least) = least {
-            self.suspects.remove(&least);
+        if let Some(dropped) = dropped {
+            self.suspects.remove(&dropped);
         }
     }
 }
@@ -460,14 +463,16 @@
 /// Removes entries older than `max_age_ms`, and the oldest ones beyond the
 /// maximum number.
 fn drop_old<T>(
-    kept: &mut VecDeque<T>,
+    entries: &mut VecDeque<T>,
     now_ms: u64,
     max_age_ms: u64,
     at_ms: impl Fn(&T) -> u64,
 ) {
-    while kept.len() >= MAX_REMEMBERED
-        || kept.front().is_some_and(|first| now_ms > at_ms(first) + max_age_ms)
+    while entries.len() >= MAX_REMEMBERED
+        || entries
+            .front()
+            .is_some_and(|first| now_ms > at_ms(first) + max_age_ms)
     {
-        kept.pop_front();
+        entries.pop_front();
     }
 }
--- a/crates/raildale-core/src/gateway/quarantine/record.rs
+++ b/crates/raildale-core/src/gateway/quarantine/record.rs
@@ -67,12 +67,12 @@
             let age_ms = unix_ms.saturating_sub(at_unix_ms);
             ToldLoss { start: start.0, age_ms, is_cut: false }
         });
-        let told = ToldSuspect {
+        let message = ToldSuspect {
             caller: record.fingerprint.caller,
             request: record.fingerprint.request,
             losses: losses.collect(),
             cleared_age_ms: None,
         };
-        self.merge_remote(now_ms, vec![told]);
+        self.merge_remote(now_ms, vec![message]);
     }
 }
--- a/crates/raildale-core/src/gateway/quarantine/suspect.rs
+++ b/crates/raildale-core/src/gateway/quarantine/suspect.rs
@@ -103,11 +103,11 @@
 
     /// Returns whether the suspect can be forgotten.
     pub fn is_over(&self, now_ms: u64) -> bool {
-        let told_ms =
+        let shared_until_ms =
             self.cleared_ms.map_or(0, |ms| ms + CLEARED_RETENTION_MS);
-        let lost_ms = self.last_ms() + SUSPECT_RETENTION_MS;
+        let kept_until_ms = self.last_ms() + SUSPECT_RETENTION_MS;
         let is_empty = self.losses.is_empty();
-        now_ms > told_ms && (is_empty || now_ms > lost_ms)
+        now_ms > shared_until_ms && (is_empty || now_ms > kept_until_ms)
     }
 }
 
--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -34,7 +34,7 @@
 }
 
 impl Departed {
-    /// Records that a start has left the list by the change `gone`.
+    /// Records that a start has left the list by the change `removed`.
     pub fn note(&mut self, now_ms: u64, start: StartId, removed: Stamp) {
         let departure = Departure { removed, at_ms: now_ms, copied: None };
         self.insert(start, departure);
@@ -83,7 +83,7 @@
     /// Returns all departures in the form in which they are sent to other
     /// entry hosts.
     pub fn outgoing(&self, now_ms: u64) -> Vec<ToldDeparture> {
-        let told = |(start, departure): (&StartId, &Departure)| {
+        let to_message = |(start, departure): (&StartId, &Departure)| {
             let Stamp { era, revision } = departure.removed;
             let age_ms = now_ms.saturating_sub(departure.at_ms);
             ToldDeparture {
@@ -95,12 +95,12 @@
                 copied_revision: departure.copied.map_or(0, |c| c.revision),
             }
         };
-        self.by_start.iter().map(told).collect()
+        self.by_start.iter().map(to_message).collect()
     }
 
     /// Merges departures received from another entry host.
-    pub fn merge_remote(&mut self, now_ms: u64, told: Vec<ToldDeparture>) {
-        for one in told {
+    pub fn merge_remote(&mut self, now_ms: u64, received: Vec<ToldDeparture>) {
+        for one in received {
             let start = StartId(one.start);
             let departure = Departure {
                 removed: Stamp::new(one.era, one.revision),
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -221,11 +221,11 @@
             .is_some_and(|known| known.spec.stamp > spec.stamp)
     }
 
-    /// Records that a target has left the list by the change `gone`, and
+    /// Records that a target has left the list by the change `removed`, and
     /// removes it.
-    pub fn depart(&mut self, now_ms: u64, id: &str, gone: Stamp) {
+    pub fn depart(&mut self, now_ms: u64, id: &str, removed: Stamp) {
         if let Some(target) = self.by_id.get(id) {
-            self.departed.note(now_ms, target.start, gone);
+            self.departed.note(now_ms, target.start, removed);
         }
         self.remove(id);
     }
--- a/crates/raildale-core/src/gateway/versions.rs
+++ b/crates/raildale-core/src/gateway/versions.rs
@@ -81,9 +81,9 @@
     pub fn bounding_versions(&self, now_ms: u64) -> Vec<(Name, NamedVersion)> {
         let mut bounding = Vec::new();
         for (model, named) in &self.versions {
-            let least = self.least_version(now_ms, model, 0);
-            let from_least = named.iter().filter(|v| v.version >= least);
-            bounding.extend(from_least.map(|v| (model.clone(), *v)));
+            let min_version = self.min_version(now_ms, model, 0);
+            let from_min = named.iter().filter(|v| v.version >= min_version);
+            bounding.extend(from_min.map(|v| (model.clone(), *v)));
         }
         bounding
     }
@@ -117,12 +117,7 @@
 
     /// Returns the lowest version of a model that may still start work
     /// `ahead_ms` from now; 0 if there is no bound.
-    pub fn least_version(
-        &self,
-        now_ms: u64,
-        model: &str,
-        ahead_ms: u64,
-    ) -> u64 {
+    pub fn min_version(&self, now_ms: u64, model: &str, ahead_ms: u64) -> u64 {
         let bound_ms = self.config.version_ms;
         let Some(named) = self.versions.get(model) else { return 0 };
         if bound_ms == 0 {
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns how many waiting requests precede one that can meet its goal
-    /// and has the key `turn`.
+    /// and has the key `queue_key`.
     fn count_before(&self, queue_key: QueueKey) -> u32 {
         self.in_time.range(..queue_key).count() as u32
     }
