--- a/crates/raildale-core/tests/event_stream.rs
+++ b/crates/raildale-core/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Whole events leave, whatever the pieces in which the bytes come.
+//! The splitter returns whole events however the bytes are split.
 
 use bytes::Bytes;
 use raildale_core::gateway::EventSplitter;
@@ -9,16 +9,19 @@
 
 #[parameterized(
     by_bytes = { 1 },
-    torn_inside_an_event = { 7 },
-    torn_between_newlines = { 15 },
+    split_inside_an_event = { 7 },
+    split_between_newlines = { 15 },
     whole = { 1_000 },
 )]
-fn any_pieces_give_the_same_stream(size: usize) {
+fn any_split_gives_the_same_stream(size: usize) {
     let mut splitter = EventSplitter::new();
     let mut out = Vec::new();
     for piece in STREAM.chunks(size) {
         if let Some(whole) = splitter.push(Bytes::copy_from_slice(piece)) {
-            assert!(whole.ends_with(b"\n\n"), "only whole events leave");
+            assert!(
+                whole.ends_with(b"\n\n"),
+                "only whole events are returned"
+            );
             out.extend_from_slice(&whole);
         }
     }
@@ -28,10 +31,10 @@
 }
 
 #[test]
-fn a_torn_event_is_held_back_and_its_id_does_not_count() {
+fn a_partial_event_is_buffered_and_its_id_ignored() {
     let mut splitter = EventSplitter::new();
-    let torn = Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda");
-    let whole = splitter.push(torn).expect("one event is whole");
+    let partial = Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda");
+    let whole = splitter.push(partial).expect("one event is whole");
     assert_eq!(&whole[..], b"id: 1\ndata: a\n\n");
     assert_eq!(splitter.last_id(), Some("1"));
     assert!(splitter.has_partial());
