--- a/crates/raildale-core/tests/retry_budget.rs
+++ b/crates/raildale-core/tests/retry_budget.rs
@@ -1,6 +1,5 @@
-//! The bound on repeats holds over all entry hosts together, whatever becomes
-//! of them: some are killed and start anew, freeze, are cut off from the
-//! others, join, or leave for good.
+//! The bound on repeats holds over all entry hosts together while some of them
+//! are killed and restarted, freeze, are partitioned, join, or leave for good.
 
 use std::collections::VecDeque;
 
@@ -9,24 +8,24 @@
 
 const BOUND: RetryBound = RetryBound { ratio: 0.2, extra: 100.0 };
 
-/// The window over which repeats and requests are counted.
+/// The window over which repeats and requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 10_000;
 
-/// Time between two steps of a run.
+/// The time between two steps of a run, in milliseconds.
 const STEP_MS: u64 = 100;
 
-/// One entry host: its budget, whether it is frozen, and how many entry hosts
-/// it knows of.
+/// An entry host: its budget, until when it is frozen, and how many entry
+/// hosts it knows of.
 struct EntryHost {
     budget: RetryBudget,
     frozen_until_ms: u64,
-    known: usize,
+    known_hosts: usize,
 }
 
 impl EntryHost {
-    fn new(known: usize) -> EntryHost {
+    fn new(known_hosts: usize) -> EntryHost {
         let budget = RetryBudget::new(BOUND);
-        EntryHost { budget, frozen_until_ms: 0, known }
+        EntryHost { budget, frozen_until_ms: 0, known_hosts }
     }
 }
 
@@ -47,52 +46,53 @@
     fn assert_bound(&self, seed: u64, now_ms: u64) {
         let requests: u64 = self.steps.iter().map(|step| step.0).sum();
         let repeats: u64 = self.steps.iter().map(|step| step.1).sum();
-        let most = BOUND.ratio * requests as f64 + BOUND.extra;
+        let max_repeats = BOUND.ratio * requests as f64 + BOUND.extra;
         assert!(
-            repeats as f64 <= most,
-            "seed {seed}: {repeats} repeats of {most} at {now_ms} ms"
+            repeats as f64 <= max_repeats,
+            "seed {seed}: {repeats} repeats, {max_repeats} allowed at {now_ms} ms"
         );
     }
 }
 
-/// Plays a fleet whose every request wants repeats, and asserts the bound in
-/// every window. `kill_share` of the entry hosts start anew at random moments.
-fn play(seed: u64, kill_share: f64) {
-    let mut draw = StdRng::seed_from_u64(seed);
-    let count = draw.random_range(1..40_usize);
+/// Runs a fleet in which every request wants repeats, and asserts the bound in
+/// every window. `kill_share` of the entry hosts restart at random times.
+fn run(seed: u64, kill_share: f64) {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let count = rng.random_range(1..40_usize);
     let mut hosts: Vec<EntryHost> =
         (0..count).map(|_| EntryHost::new(count)).collect();
     let mut window = Window::default();
     for step in 0..400 {
         let now_ms = step * STEP_MS;
-        if draw.random_bool(0.02) {
+        if rng.random_bool(0.02) {
             for host in &mut hosts {
-                if draw.random_bool(kill_share) {
-                    // One that starts knows the others after a moment only.
-                    *host = EntryHost::new(draw.random_range(1..=count));
+                if rng.random_bool(kill_share) {
+                    // A restarted host doesn't know all others at first.
+                    *host = EntryHost::new(rng.random_range(1..=count));
                 }
             }
         }
         let (mut requests, mut repeats) = (0, 0);
         for host in &mut hosts {
-            // A start's list of entry hosts comes within this step or so.
-            if draw.random_bool(0.5) {
-                host.known = count;
+            // A restarted host gets the list of entry hosts after a few steps.
+            if rng.random_bool(0.5) {
+                host.known_hosts = count;
             }
-            if draw.random_bool(0.01) {
-                let freeze_ms = draw.random_range(0..8_000);
+            if rng.random_bool(0.01) {
+                let freeze_ms = rng.random_range(0..8_000);
                 host.frozen_until_ms = now_ms + freeze_ms;
             }
             if now_ms < host.frozen_until_ms {
                 continue;
             }
-            for _ in 0..draw.random_range(0..6) {
-                host.budget.note_request(host.known);
+            for _ in 0..rng.random_range(0..6) {
+                host.budget.note_request(host.known_hosts);
                 requests += 1;
-                // What fails at every target wants as many as it can get.
-                let wanted = draw.random_range(0..4);
+                // A request that fails at every target wants as many repeats
+                // as it can get.
+                let wanted = rng.random_range(0..4);
                 repeats += (0..wanted)
-                    .filter(|_| host.budget.try_repeat(host.known))
+                    .filter(|_| host.budget.try_repeat(host.known_hosts))
                     .count() as u64;
             }
         }
@@ -104,21 +104,22 @@
 #[test]
 fn the_bound_holds_over_restarts_and_freezes() {
     for seed in 0..200 {
-        play(seed, 0.9);
+        run(seed, 0.9);
     }
 }
 
 #[test]
 fn the_bound_holds_without_restarts() {
     for seed in 200..300 {
-        play(seed, 0.0);
+        run(seed, 0.0);
     }
 }
 
-/// Half a window of requests, every repeat that these allow, a kill of all,
-/// and the same once more: the second half knows nothing of the first.
+/// Half a window of requests with all the repeats that they allow, a kill of
+/// all entry hosts, and the same again: the second half has no state of the
+/// first.
 #[test]
-fn a_restart_of_all_has_nothing_to_spend_anew() {
+fn a_restart_of_all_adds_no_repeats() {
     const HOSTS: usize = 9;
     let mut repeats = 0;
     let mut requests = 0;
@@ -132,19 +133,22 @@
             }
         }
     }
-    let most = BOUND.ratio * f64::from(requests) + BOUND.extra;
-    assert!(repeats as f64 <= most, "{repeats} of {most}");
+    let max_repeats = BOUND.ratio * f64::from(requests) + BOUND.extra;
+    assert!(
+        repeats as f64 <= max_repeats,
+        "{repeats} repeats, {max_repeats} allowed"
+    );
     assert!(repeats as f64 > 0.19 * f64::from(requests), "{repeats}");
 }
 
 #[test]
-fn a_quiet_time_fills_the_own_part_of_the_extra_and_no_more() {
+fn an_idle_host_saves_up_only_its_part_of_the_extra() {
     let mut budget = RetryBudget::new(BOUND);
     for _ in 0..1_000 {
         budget.note_request(5);
     }
     let granted = (0..200).filter(|_| budget.try_repeat(5)).count();
-    // 100 / 5, nine tenths of it.
+    // 90 % of 100 / 5.
     assert_eq!(granted, 18);
 }
 
