--- a/crates/raildale-core/tests/shares.rs
+++ b/crates/raildale-core/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Which slots of which targets an entry host may count on.
+//! The slots of each target that an entry host owns.
 
 use raildale_core::{
     Name,
@@ -7,7 +7,7 @@
 
 const SLOTS: u32 = 16;
 
-/// Entry hosts, and targets of each data centre.
+/// Returns the entry hosts and the number of targets in each data centre.
 fn fleet() -> (Vec<Sender>, Vec<(Name, usize)>) {
     let senders = [("a", 4, 10.0), ("b", 2, 30.0), ("c", 3, 5.0)];
     let senders = senders.iter().flat_map(|(centre, count, demand)| {
@@ -29,7 +29,7 @@
     Shares::new(senders, own).parts(&supplies)
 }
 
-/// Own slots of every target, by entry host.
+/// Returns the slots owned at each target, by entry host.
 fn own_slots() -> Vec<Vec<u32>> {
     let (senders, targets) = fleet();
     (0..senders.len())
@@ -56,17 +56,20 @@
 }
 
 #[test]
-fn slots_follow_demand_and_the_own_data_centre_comes_first() {
+fn slots_follow_demand_with_the_own_data_centre_first() {
     let own = own_slots();
     let sum = |host: usize| own[host].iter().sum::<u32>();
-    // 192 slots for a demand of 4 * 10 + 2 * 30 + 3 * 5.
+    // 192 slots are divided for a total demand of 4 * 10 + 2 * 30 + 3 * 5.
     assert!(sum(0).abs_diff(17) <= 2, "{}", sum(0));
     assert!(sum(4).abs_diff(50) <= 3, "{}", sum(4));
     assert!(sum(6).abs_diff(8) <= 2, "{}", sum(6));
     let elsewhere: u32 = own[0][4..].iter().sum();
     assert!(elsewhere <= 1, "its own data centre nearly has enough");
-    let at_home: u32 = own[4][4..8].iter().sum();
-    assert!(at_home >= 31, "half of its data centre's 64: {at_home}");
+    let in_own_centre: u32 = own[4][4..8].iter().sum();
+    assert!(
+        in_own_centre >= 31,
+        "half of its data centre's 64: {in_own_centre}"
+    );
 }
 
 #[test]
