--- a/crates/raildale-core/tests/free_slots.rs
+++ b/crates/raildale-core/tests/free_slots.rs
@@ -1,4 +1,4 @@
-//! Free slots of targets that many entry hosts hear of at once.
+//! Free slots of targets that many entry hosts learn of at the same time.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 const TARGETS: u8 = 45;
 const SLOTS: u32 = 12;
 
-/// Slots that each report shows free.
+/// The number of free slots in each report.
 const FREE: u32 = 2;
 
 fn routing() -> Routing {
@@ -59,8 +59,8 @@
     SocketAddr::from(([10, 0, 0, target], 80))
 }
 
-/// An entry host that has a request in each slot on which it counts, before
-/// targets of which each has some slots free.
+/// Returns an entry host that has a request in each slot that it owns, and
+/// targets that each have some free slots.
 fn busy_gateway(senders: &[Sender], own: usize) -> Gateway {
     let mut gateway = Gateway::new(GatewayConfig {
         data_centre: centre(own),
@@ -97,7 +97,7 @@
         }
     }
     for place in 1..=TARGETS {
-        let told = TargetReport {
+        let report = TargetReport {
             is_up: true,
             is_accepting: true,
             serves_version: 1,
@@ -107,12 +107,13 @@
             ..TargetReport::default()
         };
         let at_ms = START_MS + u64::from(place);
-        gateway.targets.note_report(at_ms, address(place), told);
+        gateway.targets.note_report(at_ms, address(place), report);
     }
     gateway
 }
 
-/// Requests that go out at once, of the ten that wait at an entry host.
+/// Returns how many of ten requests that wait at an entry host are sent at
+/// once.
 fn sent_at_once(gateway: &mut Gateway, host: usize) -> u32 {
     let now_ms = START_MS + 100;
     let head = RequestHead {
@@ -125,17 +126,18 @@
     let is_sent = |place: u32| {
         let draw = (host as u32 * 10 + place).wrapping_mul(2_654_435_761);
         let admitted = gateway.admit(now_ms, &head, draw);
-        let mut request = admitted.expect("it is let in");
+        let mut request = admitted.expect("it is admitted");
         let next = gateway.next(now_ms, &mut request, now_ms, draw);
         matches!(next, Next::Send(_))
     };
     (0..10).map(is_sent).filter(|is_sent| *is_sent).count() as u32
 }
 
-/// All entry hosts hear that two slots are free at each target, and have more
-/// to send than that. A target reads prompts one after the other, so that
-/// each beyond its slots waits for a whole answer; what is sent is bounded by
-/// twice the free slots, in a fleet of any size.
+/// All entry hosts learn that two slots are free at each target, and have more
+/// requests than that. A target reads prompts one after the other, so that
+/// each request beyond its slots waits for a whole answer. The number of
+/// requests sent is at most twice the number of free slots in a fleet of any
+/// size.
 #[parameterized(
     three = { 3 },
     seven = { 7 },
