--- a/crates/raildale-core/tests/counted_work.rs
+++ b/crates/raildale-core/tests/counted_work.rs
@@ -1,4 +1,5 @@
-//! The tracker at the size that is designed for, bounded by counted work.
+//! Bounds the tracker's work at the largest size that it is designed for, by
+//! counting steps.
 
 use std::collections::VecDeque;
 
@@ -28,23 +29,23 @@
     tracker
 }
 
-/// Carries each grant out at once; returns grants and views.
+/// Completes each grant at once; returns the numbers of grants and views.
 fn run(tracker: &mut Tracker) -> (usize, usize) {
     let (mut grants, mut views) = (0, 0);
     let mut now_ms = 0;
-    let mut under_way: VecDeque<(Name, u32)> = VecDeque::new();
+    let mut in_flight: VecDeque<(Name, u32)> = VecDeque::new();
     loop {
         now_ms += 1;
-        for telling in tracker.plan(now_ms) {
-            match telling.told {
+        for update in tracker.plan(now_ms) {
+            match update.told {
                 Told::Grant(chunk) => {
                     grants += 1;
-                    under_way.push_back((telling.member, chunk.index));
+                    in_flight.push_back((update.member, chunk.index));
                 }
                 Told::View(_) => views += 1,
             }
         }
-        let Some((member, index)) = under_way.pop_front() else {
+        let Some((member, index)) = in_flight.pop_front() else {
             return (grants, views);
         };
         tracker.obtained(&member, &[index], &[]);
@@ -64,48 +65,53 @@
     let mut tracker = tracker(hosts, data_centres, chunks);
     let start = std::time::Instant::now();
     let (grants, views) = run(&mut tracker);
-    // The time is for the reader; CI bounds the counted work.
+    // The time is printed for information only; the assertions use step
+    // counts.
     println!(
         "{hosts} hosts, {chunks} chunks: {grants} grants, {} steps, {:?}",
         tracker.work(),
         start.elapsed()
     );
-    assert_eq!(grants, chunks * data_centres, "each chunk enters each once");
-    assert_eq!(views, hosts, "each agent hears of its neighbours once");
+    assert_eq!(
+        grants,
+        chunks * data_centres,
+        "each chunk enters each data centre once"
+    );
+    assert_eq!(views, hosts, "each agent gets its neighbours once");
     let steps_per_grant = tracker.work() / grants as u64;
-    assert!(steps_per_grant <= 100, "{steps_per_grant} steps a grant");
+    assert!(steps_per_grant <= 100, "{steps_per_grant} steps per grant");
 }
 
-/// Under `time` the origin may give a second copy, and no third; under
-/// `origin-bytes` it gives one.
+/// With `time`, the origin may send a second copy of a chunk but no third;
+/// with `origin-bytes`, it sends one.
 #[parameterized(
     origin_bytes = { Favour::OriginBytes, 256, 256 },
     time = { Favour::Time, 257, 512 },
 )]
-fn the_origin_gives_what_the_setting_allows(
+fn the_origin_sends_what_the_setting_allows(
     favour: Favour,
-    least: usize,
-    most: usize,
+    min_copies: usize,
+    max_copies: usize,
 ) {
     let mut tracker = tracker(60, 3, 256);
     tracker.set_favour(favour);
     let mut from_origin = 0;
-    let mut under_way: VecDeque<(Name, u32)> = VecDeque::new();
+    let mut in_flight: VecDeque<(Name, u32)> = VecDeque::new();
     for now_ms in 1.. {
-        for telling in tracker.plan(now_ms) {
-            if let Told::Grant(chunk) = telling.told {
+        for update in tracker.plan(now_ms) {
+            if let Told::Grant(chunk) = update.told {
                 from_origin += usize::from(chunk.source.is_none());
-                under_way.push_back((telling.member, chunk.index));
+                in_flight.push_back((update.member, chunk.index));
             }
         }
-        let Some((member, index)) = under_way.pop_front() else { break };
+        let Some((member, index)) = in_flight.pop_front() else { break };
         tracker.obtained(&member, &[index], &[]);
     }
-    assert!((least..=most).contains(&from_origin), "{from_origin}");
+    assert!((min_copies..=max_copies).contains(&from_origin), "{from_origin}");
 }
 
-/// What neighbours and trackers say to one another, in encoded bytes: the
-/// figures that docs/CAPACITY.md multiplies.
+/// Encoded sizes of messages between neighbours and trackers, which
+/// docs/CAPACITY.md uses.
 #[test]
 fn control_messages_stay_small() {
     use prost::Message;
