--- a/crates/raildale-core/tests/gateway.rs
+++ b/crates/raildale-core/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! What an entry host decides about requests, case by case.
+//! Decisions of an entry host about requests.
 
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Entry hosts next door that all need the same.
+/// Returns entry hosts in the same data centre with equal demand.
 fn entry_hosts(count: u32) -> Vec<Sender> {
     let data_centre = Name::from("here");
     vec![Sender { data_centre, demand: 10.0 }; count as usize]
@@ -124,7 +124,7 @@
 }
 
 fn admit(gateway: &mut Gateway, path: &str) -> Admission {
-    gateway.admit(START_MS, &head(path), 0).expect("the request is let in")
+    gateway.admit(START_MS, &head(path), 0).expect("the request is admitted")
 }
 
 fn sent(next: Next) -> Option<Name> {
@@ -185,10 +185,10 @@
     long_before_the_bound = { 1_000, 0, true },
     shortly_before_the_bound = { VERSION_MS - 2_400, 0, false },
     after_the_bound = { VERSION_MS + 1, 0, false },
-    by_a_slow_way = { 1_000, 600, false },
-    by_no_quick_way_near_the_bound = { VERSION_MS - 3_000, 150, false },
-    by_no_quick_way_long_before = { 1_000, 150, true },
-    by_a_quick_way_near_the_bound = { VERSION_MS - 3_000, 20, true },
+    over_a_slow_path = { 1_000, 600, false },
+    over_no_fast_path_near_the_bound = { VERSION_MS - 3_000, 150, false },
+    over_no_fast_path_long_before = { 1_000, 150, true },
+    over_a_fast_path_near_the_bound = { VERSION_MS - 3_000, 20, true },
 )]
 fn an_old_version_gets_nothing_that_starts_too_late(
     age_ms: u64,
@@ -219,29 +219,27 @@
     assert!(gateway.is_too_old(late_ms, &request, "t"));
 }
 
-// Symptom: streams started on the older version more than the bound after a
-// newer one was named, at an entry host that had heard of it late.
+// Failure: an entry host that was killed or frozen while a version was named
+// started streams on the older version for longer after the naming than the
+// bound allows. It heard of the version seconds late, and another entry host
+// then reported how long ago it was named, or a version in between.
 //
-// Sequence: it is killed, or frozen, when a version is named, and hears of it
-// seconds later; another tells it how long ago that was, or that there was a
-// version in between.
+// Cause: the time at which the version was first heard of was kept, and
+// versions below the newest were ignored.
 //
-// Cause: the first time heard stands, and a version below the newest is not
-// taken in at all.
-//
-// Settled by: three entry hosts frozen from 0.1 s before a naming until 4.3 s
-// after it; their line 308 4.3 s after that of the others, and lines 510 of
-// streams that these three alone started on the older version until 10.1 s
-// after the naming, against a bound of 8 s.
+// It happened with three entry hosts frozen from 0.1 s before a naming until
+// 4.3 s after it: they logged event 308 4.3 s later than the others, and event
+// 510 for streams that only they started on the older version until 10.1 s
+// after the naming, with a bound of 8 s.
 #[parameterized(
-    told_as_named_before = { &[(2, 0), (2, 5_000)] },
-    told_of_one_between = { &[(3, 0), (2, 5_000)] },
-    told_as_named_after = { &[(2, 5_000), (2, 0)] },
+    reported_as_named_earlier = { &[(2, 0), (2, 5_000)] },
+    reported_one_between = { &[(3, 0), (2, 5_000)] },
+    reported_as_named_later = { &[(2, 5_000), (2, 0)] },
 )]
-fn a_bound_counts_from_the_earliest_naming_told(told: &[(u64, u64)]) {
+fn a_bound_counts_from_the_earliest_reported_naming(reported: &[(u64, u64)]) {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
-    for (version, age_ms) in told {
+    for (version, age_ms) in reported {
         let named_ms = START_MS - age_ms;
         let named = NamedVersion { version: *version, named_ms };
         gateway.note_version("m".into(), named);
@@ -257,7 +255,7 @@
     heard_long_ago = { &[7_000], 7_000 },
     heard_by_others_since = { &[7_000, 3_000, 5_000], 3_000 },
 )]
-fn a_version_found_may_be_as_old_as_the_silence(
+fn a_new_version_may_be_as_old_as_the_last_report(
     heard_ages_ms: &[u64],
     age_ms: u64,
 ) {
@@ -269,19 +267,19 @@
 }
 
 #[test]
-fn versions_that_bound_nothing_are_not_told() {
+fn versions_that_bound_nothing_are_left_out() {
     let mut gateway = gateway();
     for (version, age_ms) in [(1, 60_000), (2, VERSION_MS), (3, 1_000)] {
         let named_ms = START_MS - age_ms;
         let named = NamedVersion { version, named_ms };
         gateway.note_version("m".into(), named);
     }
-    let told: Vec<u64> = gateway
+    let reported: Vec<u64> = gateway
         .bounding_versions(START_MS)
         .into_iter()
         .map(|(_, named)| named.version)
         .collect();
-    assert_eq!(told, [2, 3]);
+    assert_eq!(reported, [2, 3]);
 }
 
 #[parameterized(
@@ -301,7 +299,7 @@
 }
 
 #[test]
-fn entry_hosts_that_choose_alike_do_not_flood_one_target() {
+fn entry_hosts_with_equal_reports_do_not_flood_one_target() {
     let mut gateway = gateway();
     gateway.set_entry_hosts(entry_hosts(6), 0);
     for last in 1..=2 {
@@ -322,7 +320,11 @@
         gateway.note_begun(START_MS, &mut request, &id, 100);
         counts[usize::from(&*id == "t2")] += 1;
     }
-    assert_eq!(counts, [3, 3], "the idler one is not sent all six");
+    assert_eq!(
+        counts,
+        [3, 3],
+        "the target with less load does not get all six"
+    );
 }
 
 #[parameterized(
@@ -341,12 +343,13 @@
 ) {
     let mut gateway = gateway();
     let mut request = admit(&mut gateway, path);
-    let may = gateway.on_attempt_ended(START_MS, &mut request, "t", outcome);
-    assert_eq!(may, again);
+    let may_repeat =
+        gateway.on_attempt_ended(START_MS, &mut request, "t", outcome);
+    assert_eq!(may_repeat, again);
 }
 
 #[test]
-fn an_address_that_changed_hands_is_left_out_for_a_while() {
+fn a_misdirecting_target_is_excluded_for_a_while() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "plain", 1, None));
     let mut request = admit(&mut gateway, "/x");
@@ -358,14 +361,14 @@
     );
     let mut other = admit(&mut gateway, "/x");
     let next = gateway.next(START_MS, &mut other, START_MS, 0);
-    assert_eq!(sent(next), None, "no second attempt is wasted there");
+    assert_eq!(sent(next), None, "no second attempt goes there");
     let later_ms = START_MS + 1_600;
     let next = gateway.next(later_ms, &mut other, later_ms, 0);
     assert!(sent(next).is_some());
 }
 
 #[test]
-fn what_may_have_run_is_never_called_not_run() {
+fn a_request_that_may_have_run_is_never_reported_as_not_run() {
     let mut gateway = gateway();
     let mut request = admit(&mut gateway, "/once/");
     gateway.on_attempt_ended(START_MS, &mut request, "t", Outcome::Broken);
@@ -382,7 +385,7 @@
     for last in 1..=3 {
         gateway.targets.put(target(&format!("t{last}"), "plain", last, None));
     }
-    // Requests before it have earned a repeat: a start has none.
+    // Earlier requests must fill the budget: it is empty at the start.
     for _ in 0..10 {
         admit(&mut gateway, "/x");
     }
@@ -403,7 +406,7 @@
 }
 
 #[test]
-fn a_first_try_is_told_when_a_target_will_serve() {
+fn a_first_try_is_refused_with_the_time_until_a_target_serves() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, None));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
@@ -413,27 +416,29 @@
     let mut request = admit(&mut gateway, "/deep/");
     let later_ms = START_MS + 200;
     let next = gateway.next(later_ms, &mut request, START_MS, 0);
-    let Next::Refuse(refusal) = next else { panic!("it waits on") };
+    let Next::Refuse(refusal) = next else { panic!("it waits") };
     assert_eq!(refusal.code, Code::NoTarget);
     assert_eq!(refusal.retry_after_ms, Some(10 * 65 + 450));
 }
 
 #[test]
-fn a_try_that_is_back_waits_for_a_target_that_will_serve() {
+fn a_later_try_waits_for_a_target_that_will_serve() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, None));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let report = TargetReport { missing_chunks: 10, ..report(0) };
     gateway.targets.note_report(START_MS, address, report);
-    let back = RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
-    let mut request =
-        gateway.admit(START_MS, &back, 0).expect("the request is let in");
+    let later_try = RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
+    let mut request = gateway
+        .admit(START_MS, &later_try, 0)
+        .expect("the request is admitted");
     let later_ms = START_MS + 200;
     let next = gateway.next(later_ms, &mut request, START_MS, 0);
     assert!(matches!(next, Next::Wait(_)), "{next:?}");
 }
 
-/// A target with some slots that runs 9 requests.
+/// Returns a gateway with one target that has `slots` slots and runs 9
+/// requests.
 fn full_gateway(slots: u32) -> Gateway {
     let mut gateway = gateway();
     let spec = target("t", "model", 1, Some(1));
@@ -457,28 +462,31 @@
     }
 }
 
-/// One that can be in time waits. Of the others one at a time does, to see
-/// whether any is served; the next is refused at once.
+/// A request that can meet its goal waits. Of the late ones, one at a time
+/// waits to find out whether any is served; the next is refused at once.
 #[test]
 fn in_an_overload_a_late_first_try_is_refused_at_once() {
     let mut gateway = full_gateway(2);
     let mut in_time = admit(&mut gateway, "/deep/");
     assert!(waits(&mut gateway, START_MS, &mut in_time), "an empty queue");
     let mut late = admit(&mut gateway, "/deep/");
-    assert!(waits(&mut gateway, START_MS, &mut late), "the one late one");
+    assert!(waits(&mut gateway, START_MS, &mut late), "the only late one");
     let mut refused = admit(&mut gateway, "/deep/");
     assert!(!waits(&mut gateway, START_MS, &mut refused), "a second one");
     gateway.stop_waiting(&mut in_time);
     let mut next = admit(&mut gateway, "/deep/");
-    assert!(waits(&mut gateway, START_MS, &mut next), "empty again");
+    assert!(
+        waits(&mut gateway, START_MS, &mut next),
+        "the queue is empty again"
+    );
     let mut refused = admit(&mut gateway, "/deep/");
     assert!(!waits(&mut gateway, START_MS, &mut refused), "still late");
 }
 
-/// Who has waited too long to be in time gives way, and is refused at once if
-/// nobody like it is served.
+/// A request that has waited too long to meet its goal becomes late, and is
+/// refused at once if no late request is served.
 #[test]
-fn a_request_that_has_become_late_is_not_held() {
+fn a_request_that_has_become_late_is_refused() {
     let mut gateway = full_gateway(2);
     let mut first = admit(&mut gateway, "/deep/");
     let mut second = admit(&mut gateway, "/deep/");
@@ -487,19 +495,20 @@
     let later_ms = START_MS + 300;
     report_running(&mut gateway, later_ms, 9);
     assert!(!waits(&mut gateway, later_ms, &mut first), "one is late already");
-    assert!(waits(&mut gateway, later_ms, &mut second), "the one late one");
+    assert!(waits(&mut gateway, later_ms, &mut second), "the only late one");
 }
 
-/// Late ones leave a fifth of the slots to those that can be in time.
+/// Late requests leave a fifth of the slots to those that can meet their goal.
 #[parameterized(
     room_for_all = { 6, true },
     room_for_those_in_time = { 7, false },
 )]
 fn late_requests_leave_slots_free(running: u32, is_late_sent: bool) {
     let mut gateway = full_gateway(8);
-    let back = RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
-    let mut late =
-        gateway.admit(START_MS, &back, 0).expect("the request is let in");
+    let later_try = RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
+    let mut late = gateway
+        .admit(START_MS, &later_try, 0)
+        .expect("the request is admitted");
     report_running(&mut gateway, START_MS, running);
     let next = gateway.next(START_MS, &mut late, START_MS, 0);
     assert_eq!(matches!(next, Next::Send(_)), is_late_sent, "{next:?}");
@@ -508,7 +517,8 @@
     assert!(matches!(next, Next::Send(_)), "{next:?}");
 }
 
-/// As slow as first events were of late, so early is a request late.
+/// When a request counts as late depends on the recently measured time to the
+/// first event.
 #[parameterized(
     quick = { 100, 200, true },
     slow = { 350, 200, false },
@@ -529,7 +539,8 @@
     }
     let mut request = admit(&mut gateway, "/deep/");
     let later_ms = START_MS + waited_ms;
-    // Room for those in time, not for late ones.
+    // There is room for a request that can meet its goal, but not for a late
+    // one.
     report_running(&mut gateway, later_ms, 7);
     let next = gateway.next(later_ms, &mut request, START_MS, 0);
     assert_eq!(matches!(next, Next::Send(_)), is_in_time, "{next:?}");
@@ -540,17 +551,17 @@
 fn prompts_that_a_target_reads_at_once_are_bounded() {
     let mut gateway = full_gateway(8);
     report_running(&mut gateway, START_MS, 0);
-    let mut unbegun = Vec::new();
+    let mut requests = Vec::new();
     for _ in 0..4 {
         let mut request = admit(&mut gateway, "/deep/");
         let next = gateway.next(START_MS, &mut request, START_MS, 0);
         let is_sent = sent(next).is_some();
         gateway.stop_waiting(&mut request);
-        unbegun.push(is_sent.then_some(request));
+        requests.push(is_sent.then_some(request));
     }
-    let counts = unbegun.iter().flatten().count();
-    assert_eq!(counts, 3, "two fifths of its 8 slots");
-    let first = unbegun[0].as_mut().expect("it was sent");
+    let counts = requests.iter().flatten().count();
+    assert_eq!(counts, 3, "0.4 of its 8 slots");
+    let first = requests[0].as_mut().expect("it was sent");
     let id = first.tried[0].clone();
     gateway.note_begun(START_MS, first, &id, 100);
     let mut next_one = admit(&mut gateway, "/deep/");
@@ -558,56 +569,60 @@
     assert!(matches!(next, Next::Send(_)), "one has begun: {next:?}");
 }
 
-/// Whoever has to be sent first goes first, whoever looks first.
+/// The request that is due first is sent first, whichever is checked first.
 #[test]
-fn the_request_that_is_due_first_gets_the_slot_that_frees() {
+fn the_request_that_is_due_first_gets_the_free_slot() {
     let mut gateway = full_gateway(8);
     let mut first = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut first, START_MS, 0);
     assert!(matches!(next, Next::Wait(_)), "{next:?}");
     let later_ms = START_MS + 60;
     let mut second =
-        gateway.admit(later_ms, &head("/deep/"), 0).expect("it is let in");
+        gateway.admit(later_ms, &head("/deep/"), 0).expect("it is admitted");
     let next = gateway.next(later_ms, &mut second, later_ms, 0);
     assert!(matches!(next, Next::Wait(_)), "{next:?}");
     let free_ms = START_MS + 80;
     report_running(&mut gateway, free_ms, 7);
     let next = gateway.next(free_ms, &mut second, later_ms, 0);
-    assert!(matches!(next, Next::Wait(_)), "not its turn: {next:?}");
+    assert!(matches!(next, Next::Wait(_)), "not first in the queue: {next:?}");
     let next = gateway.next(free_ms, &mut first, START_MS, 0);
     assert!(matches!(next, Next::Send(_)), "{next:?}");
 }
 
-/// As many late ones wait as are served before their callers leave.
+/// As many late requests wait as will be served before their callers leave.
 #[test]
 fn late_requests_wait_while_others_are_served() {
     let mut gateway = full_gateway(8);
     report_running(&mut gateway, START_MS, 0);
     for _ in 0..6 {
-        let back = RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
+        let later_try =
+            RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
         let mut served =
-            gateway.admit(START_MS, &back, 0).expect("it is let in");
+            gateway.admit(START_MS, &later_try, 0).expect("it is admitted");
         let next = gateway.next(START_MS, &mut served, START_MS, 0);
         let id = sent(next).expect("there is room");
         gateway.note_begun(START_MS, &mut served, &id, 100);
     }
     report_running(&mut gateway, START_MS, 9);
-    // 6 just now are 4.2 a second; a caller leaves after 2.4 s, of which a
-    // first event takes 0.1: nine go before one that is served by then.
+    // Six requests just sent are a rate of 4.2 per second. A caller leaves
+    // after 2.4 s, of which the first event takes 0.1 s, so that nine precede
+    // the last one that is served in time.
     let mut waiting: Vec<Admission> = Vec::new();
     for place in 0..12 {
-        let back = RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
+        let later_try =
+            RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
         let mut late =
-            gateway.admit(START_MS, &back, 0).expect("it is let in");
-        let is_held = waits(&mut gateway, START_MS, &mut late);
-        assert_eq!(is_held, place <= 9, "place {place}");
+            gateway.admit(START_MS, &later_try, 0).expect("it is admitted");
+        let is_waiting = waits(&mut gateway, START_MS, &mut late);
+        assert_eq!(is_waiting, place <= 9, "place {place}");
         waiting.push(late);
     }
 }
 
-/// A stream was cut 28 ms before its caller's deadline.
+/// Guards against cutting an answer that has begun at `due_ms`: a stream was
+/// cut 28 ms before its caller's deadline.
 #[test]
-fn an_answer_that_has_begun_has_all_its_time() {
+fn an_answer_that_has_begun_may_use_the_whole_timeout() {
     let mut gateway = gateway();
     let request = admit(&mut gateway, "/deep/");
     let timeout_ms = request.route.timeout_ms;
@@ -620,10 +635,10 @@
     agent_silent = { 1_200, 400, true },
     agent_silent_for_a_moment = { 1_200, 100, false },
 )]
-fn a_silent_target_is_given_up(
+fn requests_move_from_a_silent_target(
     report_age_ms: u64,
     silent_ms: u64,
-    is_lost: bool,
+    is_moved: bool,
 ) {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
@@ -633,11 +648,11 @@
     let mut request = admit(&mut gateway, "/deep/");
     request.tried.push("t".into());
     let silence = gateway.silence(START_MS, &request, "t", silent_ms, false);
-    assert_eq!(silence.is_some(), is_lost);
+    assert_eq!(silence.is_some(), is_moved);
 }
 
 #[parameterized(
-    nobody_else = { 1_200, None, false },
+    no_other = { 1_200, None, false },
     another_with_room = { 1_200, Some(0), true },
     another_that_is_full = { 1_200, Some(9), false },
     soon = { 900, Some(0), false },
@@ -645,15 +660,15 @@
 fn a_silent_stream_moves_only_where_there_is_room(
     silent_ms: u64,
     running_elsewhere: Option<u32>,
-    is_lost: bool,
+    is_moved: bool,
 ) {
     let mut gateway = gateway();
     let put = |gateway: &mut Gateway, id: &str, last: u8, running: u32| {
         let spec = target(id, "model", last, Some(1));
         let address = spec.address;
         gateway.targets.put(spec);
-        let told = TargetReport { running, ..report(1) };
-        gateway.targets.note_report(START_MS, address, told);
+        let reported = TargetReport { running, ..report(1) };
+        gateway.targets.note_report(START_MS, address, reported);
     };
     put(&mut gateway, "t", 1, 1);
     if let Some(running) = running_elsewhere {
@@ -662,7 +677,7 @@
     let mut request = admit(&mut gateway, "/deep/");
     request.tried.push("t".into());
     let silence = gateway.silence(START_MS, &request, "t", silent_ms, true);
-    assert_eq!(silence.is_some(), is_lost);
+    assert_eq!(silence.is_some(), is_moved);
 }
 
 #[parameterized(
@@ -686,19 +701,19 @@
         gateway.targets.iter().map(|t| &*t.spec.id).collect();
     assert_eq!(known, ["new"]);
     gateway.targets.remove("old");
-    let told = gateway.targets.note_report(
+    let reported = gateway.targets.note_report(
         START_MS,
         SocketAddr::from(([10, 0, 0, 1], 80)),
         report(1),
     );
-    assert!(told, "the end of the old one takes nothing away");
+    assert!(reported, "removing the old start keeps the new one");
 }
 
 #[parameterized(
-    it_fills = { 20, Some(1_750) },
-    nothing_comes = { 30, None },
+    progress = { 20, Some(1_750) },
+    no_progress = { 30, None },
 )]
-fn a_fill_that_stands_still_promises_nothing(
+fn a_stalled_fill_gives_no_ready_time(
     missing_chunks: u32,
     ready_ms: Option<u64>,
 ) {
@@ -706,16 +721,17 @@
     let spec = target("t1", "model", 1, None);
     let address = spec.address;
     gateway.targets.put(spec);
-    let told = |missing_chunks| TargetReport { missing_chunks, ..report(0) };
-    gateway.targets.note_report(START_MS, address, told(30));
+    let reported =
+        |missing_chunks| TargetReport { missing_chunks, ..report(0) };
+    gateway.targets.note_report(START_MS, address, reported(30));
     let later_ms = START_MS + 1_200;
-    gateway.targets.note_report(later_ms, address, told(missing_chunks));
+    gateway.targets.note_report(later_ms, address, reported(missing_chunks));
     let ready = gateway.targets.ready_in_ms(later_ms, "model");
     assert_eq!(ready, ready_ms);
 }
 
 #[test]
-fn a_silent_agent_is_told_once() {
+fn a_silent_agent_is_reported_once() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
@@ -729,7 +745,7 @@
 }
 
 #[test]
-fn a_way_that_was_slow_stays_slow_for_a_while() {
+fn a_path_that_was_slow_stays_slow_for_a_while() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let named_ms = START_MS - 1_000;
@@ -740,21 +756,22 @@
     gateway.targets.note_report(START_MS, address, report(1));
     let mut request = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
-    assert_eq!(sent(next), None, "the queue comes and goes");
+    assert_eq!(sent(next), None, "the path was slow recently");
 }
 
-/// A stream that went on from one squeezed link to another arrived there long
-/// after its caller had left: the sound targets were busy for the moment.
+/// Guards against resuming a stream over a congested link, where it arrived
+/// long after its caller had left, because the healthy targets were full for a
+/// moment.
 #[test]
-fn nothing_goes_by_a_slow_way_while_a_quick_one_is_only_full() {
+fn nothing_is_sent_over_a_slow_path_while_a_fast_one_is_only_full() {
     let mut gateway = gateway();
     gateway.targets.put(target("full", "model", 1, Some(1)));
     gateway.targets.put(target("slow", "model", 2, Some(1)));
     let full = TargetReport { running: 2, queued: 2, ..report(1) };
     let slow = TargetReport { round_trip_ms: 600, ..report(1) };
-    for (last, told) in [(1, full), (2, slow)] {
+    for (last, reported) in [(1, full), (2, slow)] {
         let address = SocketAddr::from(([10, 0, 0, last], 80));
-        gateway.targets.note_report(START_MS, address, told);
+        gateway.targets.note_report(START_MS, address, reported);
     }
     let mut request = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
@@ -764,16 +781,16 @@
     assert_eq!(sent(next).as_deref(), Some("slow"), "there is no other");
 }
 
-/// Where a squeezed link holds up reports as well as requests, nothing else
-/// shows how slow it is until one comes. An agent
-/// that is missing for longer than any way takes stands beside a sound target.
+/// Where a congested link delays reports as well as requests, only an overdue
+/// report shows that it is slow. An agent whose reports are missing for longer
+/// than any path takes has failed beside a healthy target.
 #[parameterized(
     regular = { 100, true },
-    on_a_slow_way = { 800, false },
-    on_a_very_slow_way = { 2_800, false },
+    slow_path = { 800, false },
+    very_slow_path = { 2_800, false },
     agent_missing = { 3_600, true },
 )]
-fn nothing_goes_where_reports_are_overdue_while_a_quick_way_is_full(
+fn nothing_is_sent_where_reports_are_overdue_while_a_fast_path_is_full(
     silent_ms: u64,
     is_sent: bool,
 ) {
@@ -783,16 +800,17 @@
     let now_ms = START_MS + silent_ms;
     let idle = TargetReport { every_ms: 100, ..report(1) };
     let full = TargetReport { running: 2, queued: 2, ..idle };
-    for (last, at_ms, told) in [(1, now_ms, full), (2, START_MS, idle)] {
+    for (last, at_ms, reported) in [(1, now_ms, full), (2, START_MS, idle)] {
         let address = SocketAddr::from(([10, 0, 0, last], 80));
-        gateway.targets.note_report(at_ms, address, told);
+        gateway.targets.note_report(at_ms, address, reported);
     }
-    let mut request = gateway.admit(now_ms, &head("/deep/"), 0).expect("in");
+    let mut request =
+        gateway.admit(now_ms, &head("/deep/"), 0).expect("it is admitted");
     let next = gateway.next(now_ms, &mut request, now_ms, 0);
     assert_eq!(sent(next).as_deref(), is_sent.then_some("mute"));
 }
 
-/// Many entry hosts hear the same reports, and one target looks idle in all.
+/// Many entry hosts have the same reports, in which one target looks idle.
 #[test]
 fn a_target_that_looks_idle_is_not_flooded_by_all_entry_hosts() {
     const HOSTS: u32 = 34;
@@ -810,14 +828,15 @@
             let address = spec.address;
             gateway.targets.put(spec);
             let running = if last == 1 { 0 } else { 6 };
-            let told = TargetReport { running, ..report(1) };
-            gateway.targets.note_report(START_MS, address, told);
+            let reported = TargetReport { running, ..report(1) };
+            gateway.targets.note_report(START_MS, address, reported);
         }
-        // A different draw at each: they spread over the targets.
+        // A different random number on each host spreads them over the
+        // targets.
         let draw = host.wrapping_mul(2_654_435_761);
         let head = head("/deep/x");
         let mut request =
-            gateway.admit(START_MS, &head, draw).expect("it is let in");
+            gateway.admit(START_MS, &head, draw).expect("it is admitted");
         match gateway.next(START_MS, &mut request, START_MS, draw) {
             Next::Send(to) if &*to.target == "t1" => sent_to_idle += 1,
             Next::Send(_) => {}
@@ -835,21 +854,21 @@
 fn a_report_counts_as_delayed_once_it_is_overdue(
     every_ms: u32,
     age_ms: u64,
-    way_ms: u64,
+    delay_ms: u64,
 ) {
     let mut gateway = gateway();
     let spec = target("t1", "model", 1, Some(1));
     let address = spec.address;
     gateway.targets.put(spec);
-    let told = TargetReport { every_ms, ..report(1) };
-    gateway.targets.note_report(START_MS, address, told);
+    let reported = TargetReport { every_ms, ..report(1) };
+    gateway.targets.note_report(START_MS, address, reported);
     let target = gateway.targets.get("t1").expect("it was listed");
-    assert_eq!(target.round_trip_ms(START_MS + age_ms), way_ms);
+    assert_eq!(target.round_trip_ms(START_MS + age_ms), delay_ms);
 }
 
-/// What a relay tells is older than what the agent itself told meanwhile.
+/// A relayed report is ignored if the agent itself has reported later.
 #[test]
-fn a_digest_never_replaces_what_is_known_from_later_on() {
+fn a_digest_never_replaces_a_later_report() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
@@ -858,27 +877,27 @@
         let report = target.report(START_MS).map(|report| report.running);
         (report, target.direct_report(START_MS).is_some())
     };
-    let told = |running| TargetReport { running, ..report(1) };
-    gateway.targets.note_relayed_report(START_MS - 700, address, told(5));
+    let reported = |running| TargetReport { running, ..report(1) };
+    gateway.targets.note_relayed_report(START_MS - 700, address, reported(5));
     assert_eq!(running(&gateway), (Some(5), false), "by digest only");
-    gateway.targets.note_report(START_MS - 200, address, told(1));
+    gateway.targets.note_report(START_MS - 200, address, reported(1));
     assert_eq!(running(&gateway), (Some(1), true));
-    gateway.targets.note_relayed_report(START_MS - 300, address, told(7));
+    gateway.targets.note_relayed_report(START_MS - 300, address, reported(7));
     assert_eq!(running(&gateway), (Some(1), true), "older");
-    gateway.targets.note_relayed_report(START_MS - 100, address, told(9));
+    gateway.targets.note_relayed_report(START_MS - 100, address, reported(9));
     assert_eq!(running(&gateway), (Some(9), false), "newer");
 }
 
-/// Digests come less often than reports: between two of them a target is not
-/// taken for silent.
+/// Digests come less often than reports: a target is not considered silent
+/// between two of them.
 #[test]
 fn a_target_known_by_digests_is_not_silent_between_two() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let every_ms = 800;
-    let told = TargetReport { every_ms, ..report(1) };
-    gateway.targets.note_relayed_report(START_MS, address, told);
+    let reported = TargetReport { every_ms, ..report(1) };
+    gateway.targets.note_relayed_report(START_MS, address, reported);
     let is_silent = |now_ms| {
         let target = gateway.targets.get("t").expect("it is listed");
         target.is_silent(now_ms)
@@ -887,40 +906,40 @@
     assert!(is_silent(START_MS + 1_300));
 }
 
-/// A target starts again under its name: what its agent told of the start
-/// before, and what was sent there, is void.
+/// When a target starts again under its name, the reports on the previous
+/// start and the requests sent there don't count.
 #[test]
-fn a_target_that_starts_anew_under_its_name_is_another_one() {
+fn a_target_that_restarts_under_its_name_is_a_new_start() {
     let mut gateway = gateway();
-    let born = |ms| TargetSpec {
+    let started = |ms| TargetSpec {
         born_ms: Some(ms),
         serves_version: None,
         ..target("t", "model", 1, Some(1))
     };
-    gateway.targets.put(born(1));
+    gateway.targets.put(started(1));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     gateway.targets.note_report(START_MS, address, report(1));
     gateway.targets.note_sent("t");
-    gateway.targets.put(born(1));
+    gateway.targets.put(started(1));
     let known = gateway.targets.get("t").expect("it is listed");
     assert_eq!(
         (known.in_flight, known.serves_version(START_MS)),
         (1, Some(1))
     );
-    gateway.targets.put(born(2));
+    gateway.targets.put(started(2));
     let known = gateway.targets.get("t").expect("it is listed");
     assert_eq!((known.in_flight, known.serves_version(START_MS)), (0, None));
 }
 
-/// An entry host whose way to the store was cut heard 1.9 s after its return
-/// that a target had left, and no longer watched by then.
+/// An entry host that was cut off from the store heard 1.9 s after its
+/// recovery that a target had left, and no longer watched the store by then.
 #[parameterized(
     heard_and_watching = { false, true, 2_250 },
     heard_and_not_watching = { false, false, 2_250 },
-    told_and_watching = { true, true, 2_250 },
-    told_and_not_watching = { true, false, 4_150 },
+    peer_reported_and_watching = { true, true, 2_250 },
+    peer_reported_and_not_watching = { true, false, 4_150 },
 )]
-fn a_lapse_is_over_once_the_store_has_been_back(
+fn a_lapse_is_over_some_time_after_the_recovery(
     is_from_peer: bool,
     is_watcher: bool,
     over_ms: u64,
@@ -934,23 +953,23 @@
     assert_eq!(over, Some(START_MS + over_ms));
 }
 
-/// A start has ended once another one has its address, also if the list told
-/// first that the one before is gone; one that lapsed and is back has not.
+/// A start has ended once another start has its address, even if its entry was
+/// removed first; one that lapsed and returned has not.
 #[parameterized(
     at_once = { false, "u", 1, 1 },
-    gone_first = { true, "u", 1, 1 },
-    back_as_it_was = { true, "t", 1, 0 },
+    removed_first = { true, "u", 1, 1 },
+    returned_unchanged = { true, "t", 1, 0 },
     elsewhere = { true, "u", 2, 0 },
 )]
-fn another_start_at_its_address_shows_that_one_has_ended(
-    is_gone_first: bool,
+fn another_start_at_the_address_ends_the_previous_one(
+    is_removed_first: bool,
     next: &str,
     address: u8,
     expected: usize,
 ) {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
-    if is_gone_first {
+    if is_removed_first {
         gateway.targets.remove("t");
     }
     let mut spec = target(next, "model", address, Some(1));
@@ -959,30 +978,31 @@
     assert_eq!(gateway.take_ends(START_MS).len(), expected);
 }
 
-/// A request that broke off as its target ended, three times, is refused at
-/// once, and is told truly whether this try has run.
+/// A request that broke off three times as its target ended is refused at
+/// once, with a code that tells correctly whether this try has run.
 #[parameterized(first_attempt = { false }, after_an_attempt = { true })]
-fn a_request_that_ended_its_targets_is_refused(has_tried: bool) {
+fn a_request_that_crashed_its_targets_is_refused(has_tried: bool) {
     let mut gateway = gateway();
     let same = Fingerprint::new(Some("key"), &[b"/deep/x"]);
-    let lose = |gateway: &mut Gateway, request: &mut Admission, last: u8| {
-        let id = format!("t{last}");
-        let now_ms = START_MS + u64::from(last) * 1_000;
-        gateway.targets.put(target(&id, "model", last, Some(1)));
-        let address = SocketAddr::from(([10, 0, 0, last], 80));
-        gateway.targets.note_report(now_ms, address, report(1));
-        let next = gateway.next(now_ms, request, now_ms, 0);
-        assert_eq!(sent(next).as_deref(), Some(&*id));
-        gateway.on_attempt_ended(now_ms, request, &id, Outcome::Broken);
-        let down = TargetReport { is_up: false, ..report(1) };
-        gateway.targets.note_report(now_ms + 50, address, down);
-        gateway.take_ends(now_ms + 50);
-    };
+    let lose_target =
+        |gateway: &mut Gateway, request: &mut Admission, last: u8| {
+            let id = format!("t{last}");
+            let now_ms = START_MS + u64::from(last) * 1_000;
+            gateway.targets.put(target(&id, "model", last, Some(1)));
+            let address = SocketAddr::from(([10, 0, 0, last], 80));
+            gateway.targets.note_report(now_ms, address, report(1));
+            let next = gateway.next(now_ms, request, now_ms, 0);
+            assert_eq!(sent(next).as_deref(), Some(&*id));
+            gateway.on_attempt_ended(now_ms, request, &id, Outcome::Broken);
+            let down = TargetReport { is_up: false, ..report(1) };
+            gateway.targets.note_report(now_ms + 50, address, down);
+            gateway.take_ends(now_ms + 50);
+        };
     for last in 1..=3 {
         let mut request = admit(&mut gateway, "/deep/x");
         request = request.with_fingerprint(same);
         request.due_ms += 10_000;
-        lose(&mut gateway, &mut request, last);
+        lose_target(&mut gateway, &mut request, last);
         if has_tried && last == 3 {
             let now_ms = START_MS + 3_100;
             let next = gateway.next(now_ms, &mut request, now_ms, 0);
@@ -999,10 +1019,10 @@
     assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 1_000));
 }
 
-/// Nobody listens at a target's address: whatever comes next goes elsewhere,
-/// until its agent tells that it is up again.
+/// A target at whose address nothing listens gets no requests until its agent
+/// reports it up again.
 #[test]
-fn a_target_with_nobody_there_gets_nothing_until_it_is_up_again() {
+fn a_target_that_refused_a_connection_gets_nothing_until_it_is_up() {
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
