--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -1,9 +1,10 @@
-//! Fleets before which some requests end each target that begins to run them:
-//! how many targets they cost, and how many sound requests are kept back.
+//! Simulates fleets in which some requests crash each target that begins to
+//! run them, and bounds how many targets they cost and how many sound requests
+//! are quarantined.
 //!
-//! Virtual time. Entry hosts tell one another what they know as often as
-//! their heartbeats leave, those of a large fleet's other data centres later.
-//! Beside the culprits, power cuts end a share of the targets at one moment.
+//! Runs in virtual time. Entry hosts exchange suspects with their heartbeats,
+//! which arrive later in the other data centres of a large fleet. Besides the
+//! culprits, power failures end a share of the targets at one moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,51 +16,54 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use yare::parameterized;
 
-/// Length of a run, in milliseconds.
+/// The length of a run, in milliseconds.
 const RUN_MS: u64 = 30_000;
 
-/// What a sound request takes at a target, in milliseconds, at least and most.
-const TAKES_MS: (u64, u64) = (200, 2_000);
+/// The minimum and maximum time of a sound request at a target, in
+/// milliseconds.
+const SOUND_MS: (u64, u64) = (200, 2_000);
 
-/// What a culprit takes until its target ends, in milliseconds.
-const DEADLY_MS: u64 = 60;
+/// The time until a culprit ends its target, in milliseconds.
+const CRASH_MS: u64 = 60;
 
-/// Requests that run on each target on the average.
+/// The mean number of requests that run on each target.
 const RUNNING: u64 = 6;
 
-/// Time until a target that ended is back as another start, in milliseconds.
-const BACK_MS: u64 = 4_000;
+/// The time until a target that ended is back as another start, in
+/// milliseconds.
+const TARGET_RESTART_MS: u64 = 4_000;
 
-/// Time between two heartbeats, in milliseconds.
+/// The time between two heartbeats, in milliseconds.
 const HEARTBEAT_MS: u64 = 400;
 
-/// How late what is told arrives next door and, in a large fleet, in other
+/// The delay of messages within a data centre and, in a large fleet, between
 /// data centres, in milliseconds.
 const NEAR_MS: u64 = 5;
 const FAR_MS: u64 = 800;
 
-/// When a caller that was not served comes back, in milliseconds.
+/// The time after which a caller that was not served tries again, in
+/// milliseconds.
 const RETRY_MS: u64 = 400;
 
-/// How long a request waits for an earlier try of it, and how often it looks,
-/// in milliseconds.
+/// How long a request waits for an earlier try, and how often it checks, in
+/// milliseconds.
 const GOAL_MS: u64 = 400;
-const LOOK_MS: u64 = 20;
+const POLL_INTERVAL_MS: u64 = 20;
 
-/// Attempts of one arrival.
+/// The maximum number of attempts of one try.
 const ATTEMPTS: u32 = 2;
 
-/// Longest pause between two arrivals of one culprit, in milliseconds.
-const COMES_AGAIN_MS: u64 = 1_000;
+/// The maximum time between two arrivals of one culprit, in milliseconds.
+const MAX_CULPRIT_PAUSE_MS: u64 = 1_000;
 
 struct Fleet {
     entry_hosts: usize,
     data_centres: usize,
     targets: usize,
     culprits: u64,
-    /// Shares of the targets that end at one moment, and when.
+    /// Times of power failures, and the share of the targets that each ends.
     cuts: &'static [(u64, f64)],
-    /// When nine entry hosts in ten start anew, 0 for never.
+    /// When nine entry hosts in ten restart, in milliseconds; 0 for never.
     restart_ms: u64,
 }
 
@@ -67,11 +71,11 @@
 struct Try {
     host: usize,
     request: Fingerprint,
-    is_deadly: bool,
+    is_culprit: bool,
     attempts: u32,
-    /// Arrivals of its caller that are left.
+    /// The number of tries that its caller has left.
     returns: u32,
-    /// Places of the targets that it had.
+    /// The indices of the targets that have had it.
     tried: [usize; 2],
 }
 
@@ -79,10 +83,10 @@
     Sound,
     Culprit(u64),
     Arrive(Try, u64),
-    Over { place: usize, start: u64, number: u64 },
-    Sign { host: usize, start: u64, at_ms: u64 },
+    Finish { place: usize, start: u64, number: u64 },
+    Evidence { host: usize, start: u64, at_ms: u64 },
     Back(usize),
-    Beat(usize),
+    Heartbeat(usize),
     Cut(f64),
     Restart,
 }
@@ -95,10 +99,10 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Results {
     sound: u64,
-    sound_kept: u64,
-    /// Targets that ended under a culprit, by culprit.
+    sound_quarantined: u64,
+    /// The times at which targets ended under each culprit.
     lost: BTreeMap<Fingerprint, Vec<u64>>,
 }
 
@@ -110,12 +114,12 @@
     number: u64,
     hosts: Vec<Quarantine>,
     targets: Vec<Target>,
-    kept: BTreeSet<Fingerprint>,
-    seen: Seen,
+    quarantined: BTreeSet<Fingerprint>,
+    results: Results,
 }
 
 impl World {
-    fn play(fleet: Fleet, seed: u64) -> Seen {
+    fn run_fleet(fleet: Fleet, seed: u64) -> Results {
         let mut world = World::new(fleet, seed);
         while let Some(((at_ms, _), event)) = world.events.pop_first() {
             if at_ms > RUN_MS {
@@ -124,7 +128,7 @@
             world.now_ms = at_ms;
             world.step(event);
         }
-        world.seen
+        world.results
     }
 
     fn new(fleet: Fleet, seed: u64) -> World {
@@ -144,8 +148,8 @@
             number: fleet.targets as u64,
             hosts,
             targets,
-            kept: BTreeSet::new(),
-            seen: Seen::default(),
+            quarantined: BTreeSet::new(),
+            results: Results::default(),
             fleet,
         };
         world.at(0, Event::Sound);
@@ -154,7 +158,7 @@
         }
         for place in 0..world.fleet.entry_hosts {
             let first_ms = world.rng.random_range(0..HEARTBEAT_MS);
-            world.at(first_ms, Event::Beat(place));
+            world.at(first_ms, Event::Heartbeat(place));
         }
         for (at_ms, share) in world.fleet.cuts {
             world.at(*at_ms, Event::Cut(*share));
@@ -172,18 +176,18 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Sound => self.sound_comes(),
-            Event::Culprit(number) => self.culprit_comes(number),
-            Event::Arrive(one, waited_ms) => self.look(one, waited_ms),
-            Event::Over { place, start, number } => {
-                self.over(place, start, number);
+            Event::Sound => self.add_sound(),
+            Event::Culprit(number) => self.add_culprit(number),
+            Event::Arrive(one, waited_ms) => self.try_send(one, waited_ms),
+            Event::Finish { place, start, number } => {
+                self.finish(place, start, number);
             }
-            Event::Sign { host, start, at_ms } => {
+            Event::Evidence { host, start, at_ms } => {
                 let known = &mut self.hosts[host];
                 let of = self.targets.len() as u32;
                 known.note_start_ended(self.now_ms, StartId(start), at_ms, of);
                 if known.take_urgent() {
-                    self.tell(host);
+                    self.send_suspects(host);
                 }
             }
             Event::Back(place) => {
@@ -191,9 +195,9 @@
                 self.targets[place].start = self.number;
                 self.targets[place].is_up = true;
             }
-            Event::Beat(host) => {
-                self.tell(host);
-                self.at(HEARTBEAT_MS, Event::Beat(host));
+            Event::Heartbeat(host) => {
+                self.send_suspects(host);
+                self.at(HEARTBEAT_MS, Event::Heartbeat(host));
             }
             Event::Cut(share) => {
                 let count = (self.targets.len() as f64 * share) as usize;
@@ -208,31 +212,31 @@
         }
     }
 
-    fn sound_comes(&mut self) {
-        let mean_ms = (TAKES_MS.0 + TAKES_MS.1) / 2;
+    fn add_sound(&mut self) {
+        let mean_ms = (SOUND_MS.0 + SOUND_MS.1) / 2;
         let running = self.targets.len() as u64 * RUNNING;
         let pause_us = mean_ms * 1_000 / running;
-        // Several at a time where they come more often than every
+        // Several arrive at a time if they come more often than once per
         // millisecond.
         for _ in 0..(1_000 / pause_us.max(1)).max(1) {
             self.number += 1;
-            self.seen.sound += 1;
-            let request = named("sound", self.number);
+            self.results.sound += 1;
+            let request = fingerprint("sound", self.number);
             self.arrive_anywhere(request, false, 2);
         }
         self.at((pause_us / 1_000).max(1), Event::Sound);
     }
 
-    fn culprit_comes(&mut self, number: u64) {
-        self.arrive_anywhere(named("deadly", number), true, 1);
-        let pause_ms = self.rng.random_range(10..COMES_AGAIN_MS);
+    fn add_culprit(&mut self, number: u64) {
+        self.arrive_anywhere(fingerprint("deadly", number), true, 1);
+        let pause_ms = self.rng.random_range(10..MAX_CULPRIT_PAUSE_MS);
         self.at(pause_ms, Event::Culprit(number));
     }
 
     fn arrive_anywhere(
         &mut self,
         request: Fingerprint,
-        is_deadly: bool,
+        is_culprit: bool,
         returns: u32,
     ) {
         let host = self.rng.random_range(0..self.hosts.len());
@@ -240,7 +244,7 @@
         self.arrive(Try {
             host,
             request,
-            is_deadly,
+            is_culprit,
             attempts: 0,
             returns,
             tried,
@@ -248,28 +252,29 @@
     }
 
     fn arrive(&mut self, one: Try) {
-        self.look(one, 0);
+        self.try_send(one, 0);
     }
 
-    /// Sends a request that has waited for so long, if it may be sent.
-    fn look(&mut self, mut one: Try, waited_ms: u64) {
+    /// Sends a request that has waited for `waited_ms`, if it may be sent.
+    fn try_send(&mut self, mut one: Try, waited_ms: u64) {
         let known = &mut self.hosts[one.host];
         match known.permission(self.now_ms, one.request) {
             Permission::Allowed => {}
             Permission::Pending if waited_ms < GOAL_MS => {
-                let waited_ms = waited_ms + LOOK_MS;
-                return self.at(LOOK_MS, Event::Arrive(one, waited_ms));
+                let waited_ms = waited_ms + POLL_INTERVAL_MS;
+                return self
+                    .at(POLL_INTERVAL_MS, Event::Arrive(one, waited_ms));
             }
             Permission::Pending | Permission::Denied(_) => {
-                let is_new = self.kept.insert(one.request);
-                if !one.is_deadly && is_new {
-                    self.seen.sound_kept += 1;
+                let is_new = self.quarantined.insert(one.request);
+                if !one.is_culprit && is_new {
+                    self.results.sound_quarantined += 1;
                 }
                 return;
             }
         }
         let Some(place) = self.pick(&one) else {
-            return self.comes_back(one);
+            return self.retry(one);
         };
         self.hosts[one.host].note_sent(one.request);
         one.tried[one.attempts as usize] = place;
@@ -277,21 +282,21 @@
         self.number += 1;
         let (start, number) = (self.targets[place].start, self.number);
         self.targets[place].running.insert(number, one);
-        let takes_ms = match one.is_deadly {
-            true => DEADLY_MS,
-            false => self.rng.random_range(TAKES_MS.0..TAKES_MS.1),
+        let duration_ms = match one.is_culprit {
+            true => CRASH_MS,
+            false => self.rng.random_range(SOUND_MS.0..SOUND_MS.1),
         };
-        self.at(takes_ms, Event::Over { place, start, number });
+        self.at(duration_ms, Event::Finish { place, start, number });
     }
 
-    /// A target that is up and did not have the request.
+    /// Returns a target that is up and has not had the request.
     fn pick(&mut self, one: &Try) -> Option<usize> {
         (0..20).map(|_| self.rng.random_range(0..self.targets.len())).find(
             |place| self.targets[*place].is_up && !one.tried.contains(place),
         )
     }
 
-    fn comes_back(&mut self, one: Try) {
+    fn retry(&mut self, one: Try) {
         if one.returns == 0 {
             return;
         }
@@ -306,14 +311,14 @@
         self.at(RETRY_MS, Event::Arrive(again, 0));
     }
 
-    fn over(&mut self, place: usize, start: u64, number: u64) {
+    fn finish(&mut self, place: usize, start: u64, number: u64) {
         if self.targets[place].start != start || !self.targets[place].is_up {
             return;
         }
         let running = &mut self.targets[place].running;
         let Some(one) = running.get(&number).copied() else { return };
-        if one.is_deadly {
-            let lost = self.seen.lost.entry(one.request).or_default();
+        if one.is_culprit {
+            let lost = self.results.lost.entry(one.request).or_default();
             lost.push(self.now_ms);
             return self.end(place);
         }
@@ -323,7 +328,8 @@
         known.note_answered(self.now_ms, one.request);
     }
 
-    /// A target ends: what runs there breaks at once, the sign comes later.
+    /// Ends a target: its requests break off at once, and the evidence arrives
+    /// later.
     fn end(&mut self, place: usize) {
         let target = &mut self.targets[place];
         if !std::mem::replace(&mut target.is_up, false) {
@@ -331,12 +337,12 @@
         }
         let start = target.start;
         let broken = std::mem::take(&mut target.running);
-        self.at(BACK_MS, Event::Back(place));
+        self.at(TARGET_RESTART_MS, Event::Back(place));
         let at_ms = self.now_ms + self.rng.random_range(0..100);
         for host in 0..self.hosts.len() {
-            let way_ms = self.way_ms(host, place);
-            let sign = Event::Sign { host, start, at_ms };
-            self.at(at_ms - self.now_ms + way_ms, sign);
+            let delay_ms = self.delay_ms(host, place);
+            let evidence = Event::Evidence { host, start, at_ms };
+            self.at(at_ms - self.now_ms + delay_ms, evidence);
         }
         for one in broken.into_values() {
             let known = &mut self.hosts[one.host];
@@ -344,13 +350,14 @@
             known.note_broken(self.now_ms, one.request, StartId(start));
             match one.attempts < ATTEMPTS {
                 true => self.arrive(one),
-                false => self.comes_back(one),
+                false => self.retry(one),
             }
         }
     }
 
-    /// How late what the data centre of `from` knows reaches `host`.
-    fn way_ms(&self, host: usize, from: usize) -> u64 {
+    /// Returns the delay from the data centre of `from` to `host`, in
+    /// milliseconds.
+    fn delay_ms(&self, host: usize, from: usize) -> u64 {
         let centres = self.fleet.data_centres;
         match centres <= 3 || host % centres == from % centres {
             true => NEAR_MS,
@@ -358,21 +365,21 @@
         }
     }
 
-    fn tell(&mut self, from: usize) {
+    fn send_suspects(&mut self, from: usize) {
         let now_ms = self.now_ms;
-        let told = self.hosts[from].outgoing(now_ms);
-        if told.is_empty() {
+        let suspects = self.hosts[from].outgoing(now_ms);
+        if suspects.is_empty() {
             return;
         }
         for host in 0..self.hosts.len() {
-            // What arrives later is as old as the way is long.
-            let way_ms = self.way_ms(host, from);
-            let mut told = told.clone();
-            for loss in told.iter_mut().flat_map(|one| &mut one.losses) {
-                loss.age_ms += way_ms;
+            // A loss that arrives later is older by the delay.
+            let delay_ms = self.delay_ms(host, from);
+            let mut suspects = suspects.clone();
+            for loss in suspects.iter_mut().flat_map(|one| &mut one.losses) {
+                loss.age_ms += delay_ms;
             }
-            if way_ms == NEAR_MS || self.rng.random_range(0..2) == 0 {
-                self.hosts[host].merge_remote(now_ms + way_ms, told);
+            if delay_ms == NEAR_MS || self.rng.random_range(0..2) == 0 {
+                self.hosts[host].merge_remote(now_ms + delay_ms, suspects);
             }
         }
     }
@@ -384,7 +391,7 @@
     known
 }
 
-fn named(kind: &str, number: u64) -> Fingerprint {
+fn fingerprint(kind: &str, number: u64) -> Fingerprint {
     Fingerprint::new(Some("key"), &[kind.as_bytes(), &number.to_le_bytes()])
 }
 
@@ -392,7 +399,7 @@
 const CUTS: &[(u64, f64)] =
     &[(5_000, 0.5), (10_000, 1.0), (12_000, 0.2), (20_000, 0.9)];
 
-/// Seeds of each fleet.
+/// The number of seeds for each fleet.
 const SEEDS: u64 = 3;
 
 #[parameterized(
@@ -407,7 +414,7 @@
     ten_of_1000 = { 60, 5, 1_000, 10, NONE, 0 },
     cuts_of_1000 = { 60, 5, 1_000, 0, CUTS, 0 },
 )]
-fn few_targets_are_lost_and_few_sound_requests_kept(
+fn few_targets_are_lost_and_few_sound_requests_quarantined(
     entry_hosts: usize,
     data_centres: usize,
     targets: usize,
@@ -424,19 +431,22 @@
             cuts,
             restart_ms,
         };
-        let seen = play(fleet, seed);
-        for lost in seen.lost.values() {
-            assert!(late(lost) <= 3, "seed {seed}: {lost:?}");
+        let results = run_fleet(fleet, seed);
+        for lost in results.lost.values() {
+            assert!(late_count(lost) <= 3, "seed {seed}: {lost:?}");
         }
-        let most_kept = seen.sound / 1_000;
-        assert!(seen.sound_kept <= most_kept, "seed {seed}: sound ones");
+        let max_quarantined = results.sound / 1_000;
+        assert!(
+            results.sound_quarantined <= max_quarantined,
+            "seed {seed}: sound ones"
+        );
     }
 }
 
-/// Half as many culprits as targets: all targets end at once, and again each
-/// time they are back, which looks like cuts of power.
+/// There are half as many culprits as targets: all targets end at once, and
+/// again each time they are back, which looks like power failures.
 #[test]
-fn culprits_that_end_all_targets_each_time_are_found_at_the_fourth() {
+fn culprits_that_end_all_targets_are_found_at_the_fourth_moment() {
     for seed in 0..SEEDS {
         let fleet = Fleet {
             entry_hosts: 7,
@@ -446,34 +456,39 @@
             cuts: NONE,
             restart_ms: 0,
         };
-        let seen = play(fleet, seed);
-        let worst = seen.lost.values().map(Vec::len).max();
+        let results = run_fleet(fleet, seed);
+        let max_lost = results.lost.values().map(Vec::len).max();
+        assert!(
+            max_lost.is_some_and(|lost| lost <= 20),
+            "seed {seed}: {max_lost:?}"
+        );
         assert!(
-            worst.is_some_and(|lost| lost <= 20),
-            "seed {seed}: {worst:?}"
+            results.sound_quarantined <= results.sound / 100,
+            "seed {seed}"
         );
-        assert!(seen.sound_kept <= seen.sound / 100, "seed {seed}");
     }
 }
 
-/// Targets that one request has ended over 3 s after the third.
-fn late(lost: &[u64]) -> usize {
+/// Returns the number of targets that one request ended more than 3 s after
+/// the third.
+fn late_count(lost: &[u64]) -> usize {
     let third_ms = lost.get(2).copied().unwrap_or(RUN_MS);
     lost.iter().filter(|at_ms| **at_ms > third_ms + 3_000).count()
 }
 
-/// Plays a fleet, and prints what it cost.
-fn play(fleet: Fleet, seed: u64) -> Seen {
+/// Runs a fleet and prints the results.
+fn run_fleet(fleet: Fleet, seed: u64) -> Results {
     let Fleet { entry_hosts, targets, culprits, .. } = fleet;
-    let seen = World::play(fleet, seed);
-    let worst = seen.lost.values().map(Vec::len).max().unwrap_or(0);
-    let all: usize = seen.lost.values().map(Vec::len).sum();
-    let worst_late = seen.lost.values().map(|l| late(l)).max().unwrap_or(0);
+    let results = World::run_fleet(fleet, seed);
+    let max_lost = results.lost.values().map(Vec::len).max().unwrap_or(0);
+    let total: usize = results.lost.values().map(Vec::len).sum();
+    let max_late =
+        results.lost.values().map(|l| late_count(l)).max().unwrap_or(0);
     println!(
         "{entry_hosts} entry hosts, {targets} targets, {culprits} culprits, \
-         seed {seed}: {all} targets lost, {worst} to one, {worst_late} late; \
+         seed {seed}: {total} targets lost, {max_lost} to one, {max_late} late; \
          {} of {} sound requests kept back",
-        seen.sound_kept, seen.sound
+        results.sound_quarantined, results.sound
     );
-    seen
+    results
 }
