--- a/crates/raildale-core/src/gateway/shares.rs
+++ b/crates/raildale-core/src/gateway/shares.rs
@@ -166,7 +166,12 @@
     /// `slots` slots, which has index `place` among the service's targets.
     /// Fractions are rounded up at some targets and down at others, so that
     /// every slot has one owner.
-    pub fn of(&self, data_centre: &str, slots: u32, place: usize) -> u32 {
+    pub fn own_slots(
+        &self,
+        data_centre: &str,
+        slots: u32,
+        place: usize,
+    ) -> u32 {
         /// The fractional part of the golden ratio, whose multiples spread the
         /// rounding offsets evenly.
         const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -160,7 +160,8 @@
             .filter(|target| target.spec.service == service.name);
         for (place, target) in of_service.enumerate() {
             let spec = &target.spec;
-            target.own_slots = parts.of(&spec.data_centre, spec.slots, place);
+            target.own_slots =
+                parts.own_slots(&spec.data_centre, spec.slots, place);
         }
         self.parts.insert(service.name.clone(), parts);
     }
--- a/crates/raildale-core/tests/shares.rs
+++ b/crates/raildale-core/tests/shares.rs
@@ -40,7 +40,7 @@
             });
             centres
                 .enumerate()
-                .map(|(place, centre)| parts.of(centre, SLOTS, place))
+                .map(|(place, centre)| parts.own_slots(centre, SLOTS, place))
                 .collect()
         })
         .collect()
@@ -78,7 +78,7 @@
     let shares = Shares::new(vec![sender], 0);
     let supplies = [(Name::from("a"), 16.0), (Name::from("b"), 32.0)];
     let parts = shares.parts(&supplies);
-    assert_eq!(parts.of("a", SLOTS, 3), SLOTS);
-    assert_eq!(parts.of("b", SLOTS, 5), SLOTS);
-    assert_eq!(parts.of("unheard of", SLOTS, 0), 0);
+    assert_eq!(parts.own_slots("a", SLOTS, 3), SLOTS);
+    assert_eq!(parts.own_slots("b", SLOTS, 5), SLOTS);
+    assert_eq!(parts.own_slots("unheard of", SLOTS, 0), 0);
 }
