--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -177,8 +177,8 @@
             .ok_or(refusal(Code::NoTarget))?;
         let left_ms = head.deadline_ms.unwrap_or(route.timeout_ms);
         let held_ms = left_ms.min(route.timeout_ms);
-        let sharers = self.known_entry_hosts;
-        self.budget(&service.name).note_request(sharers);
+        let host_count = self.known_entry_hosts;
+        self.budget(&service.name).note_request(host_count);
         self.arrivals.add(now_ms, 1.0);
         Ok(Admission {
             fingerprint: None,
@@ -269,9 +269,9 @@
             },
         };
         let is_repeat = attempts > 0;
-        let sharers = self.known_entry_hosts;
+        let host_count = self.known_entry_hosts;
         let service = request.service.name.clone();
-        if is_repeat && !self.budget(&service).try_repeat(sharers) {
+        if is_repeat && !self.budget(&service).try_repeat(host_count) {
             let refusal = self.give_up(request, Code::TargetBusy);
             return Next::Refuse(refusal.with_obstacle(Obstacle::Budget));
         }
@@ -304,16 +304,16 @@
     ) -> Option<Next> {
         let fingerprint = request.fingerprint?;
         let waited_ms = now_ms.saturating_sub(since_ms);
-        let back_ms = match self.quarantine.permission(now_ms, fingerprint) {
+        let retry_ms = match self.quarantine.permission(now_ms, fingerprint) {
             Permission::Allowed => return None,
             Permission::Pending if waited_ms < request.route.goal_ms => {
                 return Some(Next::Wait(POLL_INTERVAL_MS));
             }
             Permission::Pending => MIN_RETRY_AFTER_MS,
-            Permission::Denied(back_ms) => back_ms.max(MIN_RETRY_AFTER_MS),
+            Permission::Denied(retry_ms) => retry_ms.max(MIN_RETRY_AFTER_MS),
         };
         let mut refusal = self.give_up(request, Code::Quarantined);
-        refusal.retry_after_ms = refusal.retry_after_ms.map(|_| back_ms);
+        refusal.retry_after_ms = refusal.retry_after_ms.map(|_| retry_ms);
         Some(Next::Refuse(refusal.with_obstacle(Obstacle::Quarantine)))
     }
 
@@ -322,8 +322,13 @@
         let ends = self.targets.take_ends();
         for end in &ends {
             let at_ms = end.at_ms.unwrap_or(now_ms);
-            let of = self.targets.count(&end.service);
-            self.quarantine.note_start_ended(now_ms, end.start, at_ms, of);
+            let target_count = self.targets.count(&end.service);
+            self.quarantine.note_start_ended(
+                now_ms,
+                end.start,
+                at_ms,
+                target_count,
+            );
         }
         ends
     }
@@ -384,10 +389,10 @@
                 self.wait_queues.enter(request, queue_kind);
                 Next::Wait(POLL_INTERVAL_MS)
             }
-            WaitDecision::GiveUp(back_ms) => {
+            WaitDecision::GiveUp(retry_ms) => {
                 let mut refusal = self.give_up(request, Code::NoTarget);
                 let is_not_run = refusal.retry_after_ms.is_some();
-                refusal.retry_after_ms = is_not_run.then_some(back_ms);
+                refusal.retry_after_ms = is_not_run.then_some(retry_ms);
                 Next::Refuse(refusal.with_obstacle(Obstacle::Targets))
             }
         }
--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -203,9 +203,9 @@
     /// all entry hosts are within its limit. 0 if it accepts them now.
     pub fn blocked_ms(&self, now_ms: u64, start: StartId) -> u64 {
         let Some(known) = self.by_start.get(&start) else { return 0 };
-        let waits_ms = known.wait_until_ms.saturating_sub(now_ms);
+        let remaining_ms = known.wait_until_ms.saturating_sub(now_ms);
         let own = self.sent_lately(now_ms, start);
-        waits_ms.max(known.limit.excess_ms(now_ms, start, own))
+        remaining_ms.max(known.limit.excess_ms(now_ms, start, own))
     }
 
     /// Counts a request sent to a start.
--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -101,8 +101,12 @@
                 self.quarantine.note_broken(now_ms, fingerprint, start);
             }
             Outcome::NobodyThere => {
-                let of = self.targets.count(&request.service.name);
-                self.quarantine.note_refused_connection(now_ms, start, of);
+                let target_count = self.targets.count(&request.service.name);
+                self.quarantine.note_refused_connection(
+                    now_ms,
+                    start,
+                    target_count,
+                );
             }
             Outcome::Whole
             | Outcome::Refused
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -133,7 +133,7 @@
     start: StartId,
     at_ms: u64,
     /// The number of targets of its service.
-    of: u32,
+    target_count: u32,
 }
 
 /// An attempt that broke off, without evidence yet that its target has ended.
@@ -251,14 +251,14 @@
     }
 
     /// Records evidence, observed at `at_ms`, that a start has ended, one of
-    /// `of` targets of its service. The start ended when the first attempt
-    /// broke off there, if one did.
+    /// `target_count` targets of its service. The start ended when the first
+    /// attempt broke off there, if one did.
     pub fn note_start_ended(
         &mut self,
         now_ms: u64,
         start: StartId,
         at_ms: u64,
-        of: u32,
+        target_count: u32,
     ) {
         if self.ends.iter().any(|end| end.start == start) {
             return;
@@ -272,7 +272,7 @@
             .map(|broken| (broken.fingerprint, broken.at_ms))
             .unzip();
         let at_ms = broke_ms.into_iter().min().unwrap_or(at_ms);
-        let end = End { start, at_ms, of };
+        let end = End { start, at_ms, target_count };
         self.ends.push_back(end);
         self.note_cut(end);
         for fingerprint in lost {
@@ -281,17 +281,18 @@
         self.update_culprits();
     }
 
-    /// Records that nothing listens at the address of a start, one of `of`
-    /// targets of its service. The start has ended if an attempt broke off
-    /// there shortly before; otherwise, it may not be up yet.
+    /// Records that nothing listens at the address of a start, one of
+    /// `target_count` targets of its service. The start has ended if an
+    /// attempt broke off there shortly before; otherwise, it may not be up
+    /// yet.
     pub fn note_refused_connection(
         &mut self,
         now_ms: u64,
         start: StartId,
-        of: u32,
+        target_count: u32,
     ) {
         if self.broken.iter().any(|broken| broken.start == start) {
-            self.note_start_ended(now_ms, start, now_ms, of);
+            self.note_start_ended(now_ms, start, now_ms, target_count);
         }
     }
 
@@ -365,7 +366,7 @@
         let is_near =
             |other: &&End| other.at_ms.abs_diff(end.at_ms) <= TOGETHER_MS;
         let together = self.ends.iter().filter(is_near).count() as f64;
-        together >= (f64::from(end.of) * CUT_SHARE).max(MIN_CUT_ENDS)
+        together >= (f64::from(end.target_count) * CUT_SHARE).max(MIN_CUT_ENDS)
     }
 
     /// Marks the losses at about the time of an end as lost in a cut, if that
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -170,7 +170,7 @@
     fn supplies(&self, now_ms: u64, service: &Service) -> Vec<(Name, f64)> {
         let mut supplies: BTreeMap<Name, f64> = BTreeMap::new();
         for target in
-            self.of(&service.name).filter(|t| self.is_open(t, now_ms))
+            self.of_service(&service.name).filter(|t| self.is_open(t, now_ms))
         {
             let centre = target.spec.data_centre.clone();
             let slots = self.slots_within_limit(target, service);
@@ -350,7 +350,8 @@
 
     /// Returns whether some target could take a request if it had room.
     pub fn any_fits(&self, now_ms: u64, need: Need<'_>) -> bool {
-        self.of(need.service).any(|target| self.fits(target, now_ms, need))
+        self.of_service(need.service)
+            .any(|target| self.fits(target, now_ms, need))
     }
 
     /// Returns whether some target could take a request now.
@@ -361,7 +362,7 @@
     /// Returns the milliseconds until the first target of a service that
     /// doesn't serve now will; `None` if nothing is known.
     pub fn ready_in_ms(&self, now_ms: u64, service: &str) -> Option<u64> {
-        self.of(service).filter_map(|t| t.ready_in_ms(now_ms)).min()
+        self.of_service(service).filter_map(|t| t.ready_in_ms(now_ms)).min()
     }
 
     /// Returns the number of requests that the targets of a service finish per
@@ -375,17 +376,17 @@
         let rate = |target: &Target| {
             self.slots_within_limit(target, service) * 1e3 / run_ms(service)
         };
-        let targets = || self.of(&service.name);
+        let targets = || self.of_service(&service.name);
         let open: f64 = targets().filter(serves).map(rate).sum();
         if open > 0.0 { open } else { targets().map(rate).sum() }
     }
 
     /// Returns the number of targets of a service in any state.
     pub fn count(&self, service: &str) -> u32 {
-        self.of(service).count() as u32
+        self.of_service(service).count() as u32
     }
 
-    fn of(&self, service: &str) -> impl Iterator<Item = &Target> {
+    fn of_service(&self, service: &str) -> impl Iterator<Item = &Target> {
         let ids = self.by_service.get(service).map_or(&[][..], |ids| ids);
         ids.iter().filter_map(|id| self.by_id.get(id))
     }
@@ -425,7 +426,8 @@
         need: Need<'a>,
     ) -> impl Iterator<Item = &'a Target> {
         let fitting = move || {
-            self.of(need.service).filter(move |t| self.fits(t, now_ms, need))
+            self.of_service(need.service)
+                .filter(move |t| self.fits(t, now_ms, need))
         };
         let stays = move |target: &&Target| {
             !self.notices.is_reported_leaving(target.start)
--- a/crates/raildale-core/src/gateway/targets/notice_limits.rs
+++ b/crates/raildale-core/src/gateway/targets/notice_limits.rs
@@ -73,15 +73,17 @@
         let leaves = |target: &Target| {
             target.spec.is_draining || self.notices.is_leaving(target.start)
         };
-        self.of(service).all(leaves) && self.of(service).next().is_some()
+        self.of_service(service).all(leaves)
+            && self.of_service(service).next().is_some()
     }
 
     /// Returns the milliseconds until the notices of a target that fits a
     /// request allow one, whether it has room or not; 0 if one does now or
     /// none fits.
     pub fn blocked_ms(&self, now_ms: u64, need: Need<'_>) -> u64 {
-        let fitting =
-            self.of(need.service).filter(|t| self.fits(t, now_ms, need));
+        let fitting = self
+            .of_service(need.service)
+            .filter(|t| self.fits(t, now_ms, need));
         let mut min_ms = u64::MAX;
         for target in fitting {
             let blocked_ms = self.notices.blocked_ms(now_ms, target.start);
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns how many waiting requests precede one that can meet its goal
-    /// and has the key `queue_key`.
+    /// and has this key.
     fn count_before(&self, queue_key: QueueKey) -> u32 {
         self.in_time.range(..queue_key).count() as u32
     }
@@ -340,8 +340,8 @@
                 WaitDecision::Wait(QueueKind::Late)
             }
             _ => {
-                let back_ms = late_ms.unwrap_or(u64::MAX);
-                WaitDecision::GiveUp(capped_retry_ms(request, back_ms))
+                let retry_ms = late_ms.unwrap_or(u64::MAX);
+                WaitDecision::GiveUp(capped_retry_ms(request, retry_ms))
             }
         }
     }
