--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -41,8 +41,8 @@
 
     /// Returns the number of requests within the window.
     pub(super) fn count(&self, now_ms: u64) -> u32 {
-        let is_late = |ms: &&u64| **ms + WINDOW_MS > now_ms;
-        self.0.iter().rev().take_while(is_late).count() as u32
+        let is_recent = |ms: &&u64| **ms + WINDOW_MS > now_ms;
+        self.0.iter().rev().take_while(is_recent).count() as u32
     }
 }
 
--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -125,7 +125,7 @@
     ///
     /// An answer without a limit ends a limit only if its request was sent
     /// after the limit was last stated, since answers may overtake one
-    /// another. A start that is leaving never returns.
+    /// another. A start that is leaving stays so.
     pub fn note(
         &mut self,
         now_ms: u64,
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -104,6 +104,7 @@
     pub not_begun: u32,
     /// The number of slots that this entry host owns there.
     pub own_slots: u32,
+    /// The last report, when it was made, and `in_flight` at that time.
     report: Option<(u64, TargetReport, u32)>,
     /// Whether the last report came from the agent itself rather than a
     /// digest.
@@ -116,7 +117,7 @@
     misdirected_ms: Option<u64>,
     /// When nothing listened at its address, unless its agent has since
     /// reported it up.
-    unreachable_ms: Option<u64>,
+    nobody_there_ms: Option<u64>,
     was_agent_up: bool,
     /// Since when the number of missing chunks has been the same.
     missing_since_ms: u64,
@@ -215,7 +216,7 @@
             lottery_number: 0.0,
             failures: FailureRate::new(),
             misdirected_ms: None,
-            unreachable_ms: None,
+            nobody_there_ms: None,
             was_agent_up: false,
             missing_since_ms: 0,
             worst_round_trip: (0, 0),
@@ -228,7 +229,7 @@
     pub fn note_report(&mut self, now_ms: u64, report: TargetReport) -> bool {
         let was_up = self.report.as_ref().is_some_and(|(_, r, _)| r.is_up);
         if report.is_up {
-            self.unreachable_ms = None;
+            self.nobody_there_ms = None;
         }
         let is_over =
             now_ms >= self.worst_round_trip.1 + WORST_ROUND_TRIP_MEMORY_MS;
@@ -291,7 +292,7 @@
             Outcome::Misdirected => self.misdirected_ms = Some(now_ms),
             Outcome::Refused => self.failures.add(now_ms, 0.6),
             Outcome::NobodyThere => {
-                self.unreachable_ms = Some(now_ms);
+                self.nobody_there_ms = Some(now_ms);
                 self.failures.add(now_ms, 1.0);
             }
             Outcome::Unreachable | Outcome::Broken => {
@@ -344,7 +345,7 @@
         let is_misdirected = self.misdirected_ms.is_some_and(|at_ms| {
             now_ms.saturating_sub(at_ms) < MISDIRECTED_EXCLUSION_MS
         });
-        let is_nobody_there = self.unreachable_ms.is_some_and(|at_ms| {
+        let is_nobody_there = self.nobody_there_ms.is_some_and(|at_ms| {
             now_ms.saturating_sub(at_ms) < NOBODY_THERE_EXCLUSION_MS
         });
         let is_reachable = !is_misdirected && !is_nobody_there;
