--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -487,7 +487,7 @@
     println!(
         "{entry_hosts} entry hosts, {targets} targets, {culprits} culprits, \
          seed {seed}: {total} targets lost, {max_lost} to one, {max_late} late; \
-         {} of {} sound requests kept back",
+         {} of {} sound requests quarantined",
         results.sound_quarantined, results.sound
     );
     results
