--- a/crates/raildale-core/src/gateway/shares.rs
+++ b/crates/raildale-core/src/gateway/shares.rs
@@ -1,39 +1,38 @@
-//! Which part of a target's slots an entry host may count on.
+//! Divides the slots of targets among the entry hosts.
 //!
-//! Entry hosts hear of a target's load a tenth of a second late, and all of
-//! them hear the same: in an overload each would send to the slot that was
-//! free then. Each therefore owns a part of every target's slots that the
-//! others leave alone. All work the parts out alike, from what heartbeats
-//! tell: each gets slots in proportion to its demand, those of its own data
-//! centre first.
+//! Entry hosts hear of a target's load 0.1 s late, and all hear the same, so
+//! that in an overload all of them would send to the same free slot. Each
+//! therefore owns a part of every target's slots that the others leave alone.
+//! All compute the same parts from the demand in heartbeats: each host gets
+//! slots in proportion to its demand, first those in its own data centre.
 
-use super::{notices::quota::OwnPart, target::Rivals};
+use super::{notices::quota::OwnPart, target::Competitors};
 use crate::Name;
 
 /// An entry host that sends to targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sender {
-    /// The data centre that it stands in.
+    /// The data centre of the entry host.
     pub data_centre: Name,
-    /// Requests that come to it in a second, as of late.
+    /// The recent rate of requests to the entry host, per second.
     pub demand: f64,
 }
 
-/// The demand that an entry host without any counts for: it may get some
-/// before the next heartbeat.
-const LEAST_DEMAND: f64 = 0.5;
+/// The minimum demand that an entry host counts for: one without requests may
+/// get some before the next heartbeat.
+const MIN_DEMAND: f64 = 0.5;
 
-/// The entry hosts, in an order on which all agree.
+/// The entry hosts, in the same order on all of them.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     senders: Vec<Sender>,
     own: usize,
-    /// Those in the data centre of this one, itself among them.
+    /// The number of entry hosts in this one's data centre, itself included.
     near_count: usize,
 }
 
 impl Shares {
-    /// Shares of `senders`, of which this one stands at place `own`.
+    /// Creates the shares of `senders`, of which this host has index `own`.
     pub fn new(senders: Vec<Sender>, own: usize) -> Shares {
         let near_count = senders.get(own).map_or(0, |own| {
             let is_near = |s: &&Sender| s.data_centre == own.data_centre;
@@ -42,24 +41,24 @@
         Shares { senders, own, near_count }
     }
 
-    /// How many entry hosts there are.
+    /// Returns the number of entry hosts.
     pub fn count(&self) -> usize {
         self.senders.len()
     }
 
-    /// The entry hosts that may send to the targets of a data centre: those
-    /// that stand there if this one does, else all.
-    pub fn rivals(&self, data_centre: &str) -> Rivals {
+    /// Returns the entry hosts that compete for the targets of a data centre:
+    /// those in it if this host is there as well, else all.
+    pub fn competitors(&self, data_centre: &str) -> Competitors {
         let own = self.senders.get(self.own);
         let is_near = own.is_some_and(|own| *own.data_centre == *data_centre);
         let count = if is_near { self.near_count } else { self.senders.len() };
-        Rivals { count, own_place: self.own }
+        Competitors { count, own_index: self.own }
     }
 
-    /// The parts of every data centre's slots, given how many slots each
-    /// has.
+    /// Returns this entry host's part of the slots of each data centre.
+    /// `supplies` holds the number of slots in each.
     pub fn parts(&self, supplies: &[(Name, f64)]) -> Parts {
-        let demand = |sender: &Sender| sender.demand.max(LEAST_DEMAND);
+        let demand = |sender: &Sender| sender.demand.max(MIN_DEMAND);
         let all_demand: f64 = self.senders.iter().map(demand).sum();
         let all_supply: f64 = supplies.iter().map(|(_, slots)| slots).sum();
         let needs: Vec<f64> = self
@@ -71,18 +70,21 @@
             .iter()
             .map(|(centre, slots)| self.centre_need(centre, *slots, &needs))
             .collect();
-        let lacking = self.lacking(&centres, &needs);
-        let all_lacking: f64 = lacking.iter().sum();
+        let unmet = self.unmet(&centres, &needs);
+        let all_unmet: f64 = unmet.iter().sum();
         let parts = centres.iter().map(|centre| {
             let part = |place: usize| {
                 let is_here = self.senders[place].data_centre == centre.name;
-                let own =
-                    if is_here { centre.kept * needs[place] } else { 0.0 };
-                let lent = match all_lacking > 0.0 {
-                    true => centre.excess * lacking[place] / all_lacking,
+                let own = if is_here {
+                    centre.met_share * needs[place]
+                } else {
+                    0.0
+                };
+                let borrowed = match all_unmet > 0.0 {
+                    true => centre.excess * unmet[place] / all_unmet,
                     false => 0.0,
                 };
-                (own + lent) / centre.slots.max(1.0)
+                (own + borrowed) / centre.slots.max(1.0)
             };
             let before: f64 = (0..self.own).map(part).sum();
             let own =
@@ -106,50 +108,52 @@
         CentreNeed {
             name: name.clone(),
             slots,
-            kept: if need > slots { slots / need } else { 1.0 },
+            met_share: if need > slots { slots / need } else { 1.0 },
             excess: (slots - need).max(0.0),
         }
     }
 
-    /// What each entry host needs beyond its own data centre.
-    fn lacking(&self, centres: &[CentreNeed], needs: &[f64]) -> Vec<f64> {
-        let kept = |sender: &Sender| {
+    /// Returns the slots that each entry host needs outside its own data
+    /// centre.
+    fn unmet(&self, centres: &[CentreNeed], needs: &[f64]) -> Vec<f64> {
+        let met_share = |sender: &Sender| {
             let centre = centres.iter().find(|c| c.name == sender.data_centre);
-            centre.map_or(0.0, |centre| centre.kept)
+            centre.map_or(0.0, |centre| centre.met_share)
         };
         self.senders
             .iter()
             .zip(needs)
-            .map(|(sender, need)| need * (1.0 - kept(sender)))
+            .map(|(sender, need)| need * (1.0 - met_share(sender)))
             .collect()
     }
 }
 
-/// A data centre's slots, and what its own entry hosts need of them.
+/// A data centre's slots and its own entry hosts' need of them.
 #[derive(Debug)]
 struct CentreNeed {
     name: Name,
     slots: f64,
-    /// The part of their need that its own entry hosts get here.
-    kept: f64,
-    /// Slots that are left for others.
+    /// The part of their need that its own entry hosts get here, from 0 to 1.
+    met_share: f64,
+    /// Slots that are left for entry hosts elsewhere.
     excess: f64,
 }
 
-/// The part of each data centre's slots that is this entry host's own.
+/// The part of each data centre's slots that this entry host owns.
 #[derive(Clone, Debug, Default)]
 pub struct Parts(Vec<Part>);
 
 #[derive(Clone, Debug)]
 struct Part {
     data_centre: Name,
-    /// The parts of the entry hosts before this one.
+    /// The sum of the parts of the entry hosts with a lower index.
     before: f64,
     own: f64,
 }
 
 impl Parts {
-    /// This entry host's part of what the targets of a data centre take.
+    /// Returns this entry host's part of what the targets of a data centre
+    /// take.
     pub fn own_part(&self, data_centre: &str) -> OwnPart {
         let part = self.0.iter().find(|p| *p.data_centre == *data_centre);
         part.map_or(OwnPart { before: 0.0, width: 0.0 }, |part| OwnPart {
@@ -158,15 +162,22 @@
         })
     }
 
-    /// This entry host's own slots of a target with `slots`, which stands at
-    /// `place` among all targets: parts of a slot are rounded up at some
-    /// targets and down at others, so that every slot has one owner.
-    pub fn of(&self, data_centre: &str, slots: u32, place: usize) -> u32 {
-        /// Spreads places evenly over what is rounded.
-        const GOLDEN: f64 = 0.618_033_988_749_895;
+    /// Returns the number of slots that this entry host owns at a target with
+    /// `slots` slots, which has index `place` among the service's targets.
+    /// Fractions are rounded up at some targets and down at others, so that
+    /// every slot has one owner.
+    pub fn own_slots(
+        &self,
+        data_centre: &str,
+        slots: u32,
+        place: usize,
+    ) -> u32 {
+        /// The fractional part of the golden ratio, whose multiples spread the
+        /// rounding offsets evenly.
+        const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
         let part = self.0.iter().find(|p| *p.data_centre == *data_centre);
         let Some(part) = part else { return 0 };
-        let offset = (place as f64 * GOLDEN).fract();
+        let offset = (place as f64 * GOLDEN_RATIO_FRACTION).fract();
         let slots = f64::from(slots);
         let first = (part.before * slots + offset).floor();
         let end = ((part.before + part.own) * slots + offset).floor();
--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -1,47 +1,49 @@
-//! Starts that have left the list: a store that is restored from an older copy
-//! lists them again, without their doing.
+//! Target starts that have left the list. A store that is restored from an
+//! older copy lists them again, although they are gone.
 
 use std::collections::BTreeMap;
 
 use crate::{
-    catalog::Stamp, fleet_message::DepartureEntry, gateway::ends::StartId,
+    catalog::Stamp, fleet_message::DepartureEntry,
+    gateway::target_end::StartId,
 };
 
-/// How long a departure is remembered, in milliseconds. The longest that a
-/// start serves on after it has left, with a margin; an entry of a restored
-/// copy without an owner has lapsed by then.
-const KEPT_MS: u64 = 30_000;
+/// How long a departure is remembered, in milliseconds: the longest time that
+/// a start goes on serving after it left, with a margin. By then, an entry of
+/// a restored copy that has no owner has lapsed.
+const RETENTION_MS: u64 = 30_000;
 
-/// Departures that are remembered at most; the oldest go first.
-const MOST: usize = 4_096;
+/// The maximum number of departures that are remembered; the oldest are
+/// dropped first.
+const MAX_DEPARTURES: usize = 4_096;
 
-/// Starts that have left the list of late.
+/// The starts that have recently left the list.
 #[derive(Clone, Debug, Default)]
 pub struct Departed {
     by_start: BTreeMap<StartId, Departure>,
 }
 
-/// That a start has left the list.
+/// A start's departure from the list.
 #[derive(Clone, Copy, Debug)]
 struct Departure {
-    /// A change of the store by which its entry was gone.
-    gone: Stamp,
-    /// When that was known here.
+    /// The change of the store by which the entry was gone.
+    removed: Stamp,
+    /// When the departure became known here, on the process's clock.
     at_ms: u64,
-    /// Its entry in a restored copy.
+    /// The stamp of the start's entry in a restored copy, if one was listed.
     copied: Option<Stamp>,
 }
 
 impl Departed {
-    /// Notes that a start has left, as the list tells at `gone`.
-    pub fn note(&mut self, now_ms: u64, start: StartId, gone: Stamp) {
-        let departure = Departure { gone, at_ms: now_ms, copied: None };
+    /// Records that a start has left the list by the change `removed`.
+    pub fn note(&mut self, now_ms: u64, start: StartId, removed: Stamp) {
+        let departure = Departure { removed, at_ms: now_ms, copied: None };
         self.insert(start, departure);
     }
 
     fn insert(&mut self, start: StartId, departure: Departure) {
         self.by_start.insert(start, departure);
-        if self.by_start.len() > MOST {
+        if self.by_start.len() > MAX_DEPARTURES {
             let oldest = self.by_start.iter().min_by_key(|(_, d)| d.at_ms);
             if let Some(start) = oldest.map(|(start, _)| *start) {
                 self.by_start.remove(&start);
@@ -49,15 +51,15 @@
         }
     }
 
-    /// Takes in the entry under which a start is listed. Says whether it is a
-    /// copy from before it left; one that is written again has another stamp,
-    /// and the start is back.
+    /// Returns whether the listed entry of a start is a copy from before the
+    /// start left. An entry that is written again has another stamp: then the
+    /// start is back, and its departure is forgotten.
     pub fn note_listed(&mut self, start: StartId, entry: Stamp) -> bool {
         let Some(departure) = self.by_start.get_mut(&start) else {
             return false;
         };
-        let is_from_copy = entry.era > departure.gone.era
-            && entry.revision <= departure.gone.revision;
+        let is_from_copy = entry.era > departure.removed.era
+            && entry.revision <= departure.removed.revision;
         let copied = *departure.copied.get_or_insert(entry);
         let is_copied = is_from_copy && copied == entry;
         if !is_copied {
@@ -66,11 +68,11 @@
         is_copied
     }
 
-    /// Forgets what is old; returns starts whose entries were copies until
-    /// now.
+    /// Removes old departures. Returns the starts among them whose entries
+    /// were treated as copies until now.
     pub fn sweep(&mut self, now_ms: u64) -> Vec<StartId> {
         let is_old = |departure: &Departure| {
-            now_ms.saturating_sub(departure.at_ms) > KEPT_MS
+            now_ms.saturating_sub(departure.at_ms) > RETENTION_MS
         };
         let old = self.by_start.iter().filter(|(_, d)| is_old(d));
         let copied = old.filter(|(_, d)| d.copied.is_some());
@@ -79,10 +81,11 @@
         starts
     }
 
-    /// All of it, for another entry host.
-    pub fn told(&self, now_ms: u64) -> Vec<DepartureEntry> {
-        let told = |(start, departure): (&StartId, &Departure)| {
-            let Stamp { era, revision } = departure.gone;
+    /// Returns all departures in the form in which they are sent to other
+    /// entry hosts.
+    pub fn outgoing(&self, now_ms: u64) -> Vec<DepartureEntry> {
+        let to_message = |(start, departure): (&StartId, &Departure)| {
+            let Stamp { era, revision } = departure.removed;
             let age_ms = now_ms.saturating_sub(departure.at_ms);
             DepartureEntry {
                 start: start.0,
@@ -93,15 +96,19 @@
                 copied_revision: departure.copied.map_or(0, |c| c.revision),
             }
         };
-        self.by_start.iter().map(told).collect()
+        self.by_start.iter().map(to_message).collect()
     }
 
-    /// Takes in what another entry host tells.
-    pub fn take_told(&mut self, now_ms: u64, told: Vec<DepartureEntry>) {
-        for one in told {
+    /// Merges departures received from another entry host.
+    pub fn merge_remote(
+        &mut self,
+        now_ms: u64,
+        received: Vec<DepartureEntry>,
+    ) {
+        for one in received {
             let start = StartId(one.start);
             let departure = Departure {
-                gone: Stamp::new(one.era, one.revision),
+                removed: Stamp::new(one.era, one.revision),
                 at_ms: now_ms.saturating_sub(one.age_ms),
                 copied: one.copied(),
             };
--- a/crates/raildale-core/src/gateway/targets/said.rs
+++ b/crates/raildale-core/src/gateway/targets/notice_limits.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves, where one is chosen.
+//! Effects of targets' notices on the choice among them.
 
 use std::collections::HashMap;
 
@@ -12,24 +12,26 @@
 };
 
 impl Targets {
-    /// Counts a request out to a target against the limit that it names.
+    /// Counts a request sent to a target against the limit that the target
+    /// names.
     pub fn use_token(&mut self, now_ms: u64, id: &str) {
         let Some(target) = self.by_id.get(id) else { return };
-        let part = own_part(&self.parts, self.heard_share(), target);
+        let part = own_part(&self.parts, self.alive_share(), target);
         self.notices.note_sent(now_ms, target.start, part);
     }
 
-    /// Whether a target takes one more request of this entry host, by what it
-    /// says of itself.
+    /// Returns whether a target's notices allow one more request of this entry
+    /// host.
     pub(super) fn is_admitted(&self, now_ms: u64, target: &Target) -> bool {
-        let part = own_part(&self.parts, self.heard_share(), target);
+        let part = own_part(&self.parts, self.alive_share(), target);
         self.notices.admits(now_ms, target.start, part)
     }
 
-    /// The share of the entry hosts that are heard: what the others may send
-    /// is left to them. One that knows nobody yet would take all that there
-    /// is, as would each that has just started.
-    fn heard_share(&self) -> f64 {
+    /// Returns the share of the entry hosts that are heard; the silent ones
+    /// keep their part of a limit. A host that knows no others yet uses
+    /// nothing: otherwise each host that had just started would use the whole
+    /// limit.
+    fn alive_share(&self) -> f64 {
         if self.is_fleet_unknown {
             return 0.0;
         }
@@ -37,7 +39,7 @@
         heard / (heard + self.silent_senders as f64)
     }
 
-    /// Forgets what starts said that are listed no longer.
+    /// Removes the notices of starts that are no longer listed.
     pub fn sweep_notices(&mut self, now_ms: u64) {
         let by_id = &self.by_id;
         let is_listed =
@@ -45,7 +47,8 @@
         self.notices.sweep(now_ms, is_listed);
     }
 
-    /// Slots of a target that its limit lets be filled.
+    /// Returns the number of a target's slots that can be filled within its
+    /// limit.
     pub(super) fn slots_within_limit(
         &self,
         target: &Target,
@@ -56,43 +59,47 @@
         limit.map_or(slots, |per_s| slots.min(per_s * run_ms(service) / 1e3))
     }
 
-    /// Whether new requests may go to a target at all.
+    /// Returns whether new requests may be sent to a target at all.
     ///
-    /// One that has said in an answer that it leaves is bound by that, whatever
-    /// the list says: the store may be cut off from it for as long as it stays.
+    /// A target that announced in an answer that it is leaving stays closed
+    /// whatever the list says: the store may be cut off from the target until
+    /// it has left.
     pub(super) fn is_open(&self, target: &Target, now_ms: u64) -> bool {
         target.is_open(now_ms) && !self.notices.is_leaving(target.start)
     }
 
-    /// Whether every target of a service that is known leaves.
-    pub fn all_leave(&self, service: &str) -> bool {
+    /// Returns whether a service has targets and all of them are leaving.
+    pub fn all_leaving(&self, service: &str) -> bool {
         let leaves = |target: &Target| {
             target.spec.is_draining || self.notices.is_leaving(target.start)
         };
-        self.of(service).all(leaves) && self.of(service).next().is_some()
+        self.of_service(service).all(leaves)
+            && self.of_service(service).next().is_some()
     }
 
-    /// Milliseconds until a target that could take a request, if it had room,
-    /// takes any by what it says of itself; 0 if one does now, or none could.
+    /// Returns the milliseconds until the notices of a target that fits a
+    /// request allow one, whether it has room or not; 0 if one does now or
+    /// none fits.
     pub fn blocked_ms(&self, now_ms: u64, need: Need<'_>) -> u64 {
-        let fitting =
-            self.of(need.service).filter(|t| self.fits(t, now_ms, need));
-        let mut least_ms = u64::MAX;
+        let fitting = self
+            .of_service(need.service)
+            .filter(|t| self.fits(t, now_ms, need));
+        let mut min_ms = u64::MAX;
         for target in fitting {
             let blocked_ms = self.notices.blocked_ms(now_ms, target.start);
             if blocked_ms == 0 {
                 return 0;
             }
-            least_ms = least_ms.min(blocked_ms);
+            min_ms = min_ms.min(blocked_ms);
         }
-        if least_ms == u64::MAX { 0 } else { least_ms }
+        if min_ms == u64::MAX { 0 } else { min_ms }
     }
 }
 
-/// The part of a target's limit that is this entry host's own.
+/// Returns this entry host's part of a target's limit.
 fn own_part<'a>(
     parts: &'a HashMap<Name, Parts>,
-    heard_share: f64,
+    alive_share: f64,
     target: &'a Target,
 ) -> impl FnOnce() -> OwnPart + 'a {
     move || {
@@ -100,6 +107,6 @@
         let part = parts.map_or(OwnPart::ALL, |parts| {
             parts.own_part(&target.spec.data_centre)
         });
-        part.scaled(heard_share)
+        part.scaled(alive_share)
     }
 }
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -12,7 +12,7 @@
     gateway::{
         Admission, Gateway, GatewayConfig, Outcome, RequestHead, Route,
         RouteKind, Routing, Service, TargetReport, TargetSpec,
-        lapse::{LAPSE_MS, Lapse, StoreView},
+        lapse::{Lapse, RELIST_TIMEOUT_MS, StoreView},
         request::{Dispatch, Next},
         retry_budget::RetryBound,
         routes::EngineSpec,
@@ -292,7 +292,7 @@
             Event::Digest(centre) => self.digest(centre),
             Event::Told { host, target, at_ms, report } => {
                 let targets = &mut self.hosts[host].gateway.targets;
-                targets.note_told(at_ms, address(target), report);
+                targets.note_relayed_report(at_ms, address(target), report);
             }
             Event::Drain(target) => {
                 self.targets[target].is_accepting = false;
@@ -320,7 +320,7 @@
             for place in 0..self.targets.len() {
                 let targets = &mut host.gateway.targets;
                 if let Some(target) = targets.get_mut(&target_id(place)) {
-                    target.lapse = Some(Lapse { at_ms, is_told: false });
+                    target.lapse = Some(Lapse { at_ms, is_from_peer: false });
                 }
             }
         }
@@ -329,7 +329,7 @@
             let after_ms = gap_ms * (target + 1) as f64;
             self.schedule(after_ms, Event::Relist(target));
         }
-        self.schedule(LAPSE_MS as f64 + 1.0, Event::Sweep);
+        self.schedule(RELIST_TIMEOUT_MS as f64 + 1.0, Event::Sweep);
     }
 
     fn relist(&mut self, place: usize) {
@@ -343,7 +343,7 @@
     fn sweep(&mut self) {
         let now_ms = self.clock_ms();
         let store =
-            StoreView { is_watcher: true, sees_store: true, back_ms: 0 };
+            StoreView { is_watcher: true, sees_store: true, recovered_ms: 0 };
         for host in &mut self.hosts {
             for place in 0..self.targets.len() {
                 let id = target_id(place);
@@ -539,7 +539,7 @@
         let gateway = &mut self.hosts[call.host].gateway;
         let Some(admission) = call.admission.as_mut() else { return false };
         let id = target_id(known.target);
-        gateway.ended(now_ms, admission, &id, outcome)
+        gateway.on_attempt_ended(now_ms, admission, &id, outcome)
     }
 
     fn fail(&mut self, attempt: usize, outcome: Outcome) {
--- a/crates/raildale/src/fleet/entry/attempt.rs
+++ b/crates/raildale/src/fleet/entry/attempt.rs
@@ -8,8 +8,8 @@
 use raildale_core::{
     Name,
     gateway::{
-        Admission, EventSplitter, Fingerprint, Outcome, ends::StartId,
-        outcomes::Silence,
+        Admission, EventSplitter, Fingerprint, Outcome, outcomes::Silence,
+        target_end::StartId,
     },
 };
 
@@ -70,7 +70,7 @@
             let data = match self.response.body_mut().frame().await {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 Some(Err(_)) => return false,
-                None => return !splitter.is_torn(),
+                None => return !splitter.has_partial(),
             };
             self.buffered.extend_from_slice(&data);
             if splitter.push(data).is_some() {
@@ -159,7 +159,7 @@
         }
         let mut gateway = self.host.gateway.borrow_mut();
         let may_retry =
-            gateway.ended(now_ms(), request, &self.target, outcome);
+            gateway.on_attempt_ended(now_ms(), request, &self.target, outcome);
         drop(gateway);
         if outcome == Outcome::Broken {
             self.host.publish_quarantine_changes();
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -73,7 +73,7 @@
     let now = now_ms();
     let gateway = host.gateway.borrow();
     let heard = gateway.targets.iter().filter_map(|target| {
-        let (report, age_ms) = target.heard_report(now)?;
+        let (report, age_ms) = target.direct_report(now)?;
         let mut wire_report = Report::of(target.spec.address, report);
         wire_report.every_ms = DIGEST_EVERY_MS;
         let round_trip_ms = report.round_trip_ms;
@@ -134,7 +134,7 @@
         let mut report = wire.target_report(now);
         report.round_trip_ms = target.round_trip_ms + digest.round_trip_ms;
         let at_ms = now.saturating_sub(target.age_ms);
-        gateway.targets.note_told(at_ms, address, report);
+        gateway.targets.note_relayed_report(at_ms, address, report);
     }
     drop(gateway);
     host.handle_ended_targets();
--- a/crates/raildale/src/fleet/entry/hedge.rs
+++ b/crates/raildale/src/fleet/entry/hedge.rs
@@ -8,7 +8,7 @@
 
 use raildale_core::{
     Name,
-    gateway::{Admission, outcomes::Silence, request::RETRY_AFTER_LEAST_MS},
+    gateway::{Admission, outcomes::Silence, request::MIN_RETRY_AFTER_MS},
 };
 
 use super::{
@@ -102,7 +102,7 @@
                     return HedgeOutcome::Other(Box::new(other));
                 }
                 RaceOutcome::Neither => {
-                    next_hedge_ms = now_ms() + RETRY_AFTER_LEAST_MS;
+                    next_hedge_ms = now_ms() + MIN_RETRY_AFTER_MS;
                 }
             }
         }
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -7,9 +7,9 @@
     fleet_message::ModelVersionAge,
     gateway::{
         Target,
-        ends::StartId,
-        lapse::{LAPSE_MS, Lapse, StoreView},
-        versions::{NamedVersion, VersionNews},
+        lapse::{Lapse, RELIST_TIMEOUT_MS, StoreView},
+        target_end::StartId,
+        versions::{NamedVersion, VersionChange},
     },
 };
 
@@ -182,7 +182,7 @@
         let store = StoreView {
             is_watcher: self.members.borrow().is_watcher(now),
             sees_store: self.sees_store(),
-            back_ms: self.store_recovered_ms.get(),
+            recovered_ms: self.store_recovered_ms.get(),
         };
         let is_over = |target: &&Target| {
             target.lapse.is_some_and(|lapse| lapse.is_over(now, store))
@@ -344,14 +344,16 @@
                 ChangeSource::EntryHost { lapsed } => lapsed.contains(name),
                 ChangeSource::Store { .. } => {
                     !self.sees_store()
-                        || now < self.store_recovered_ms.get() + LAPSE_MS
+                        || now
+                            < self.store_recovered_ms.get() + RELIST_TIMEOUT_MS
                 }
             };
         let mut gateway = self.gateway.borrow_mut();
         if is_doubtful {
             if let Some(target) = gateway.targets.get_mut(name) {
-                let is_told = matches!(source, ChangeSource::EntryHost { .. });
-                target.lapse.get_or_insert(Lapse { at_ms: now, is_told });
+                let is_from_peer =
+                    matches!(source, ChangeSource::EntryHost { .. });
+                target.lapse.get_or_insert(Lapse { at_ms: now, is_from_peer });
             }
         } else {
             let stamp = self.known.stamp(Kind::Targets);
@@ -400,11 +402,11 @@
         let mut gateway = self.gateway.borrow_mut();
         let change = gateway.note_version(model.clone(), named);
         let is_logged = match change {
-            VersionNews::New => true,
-            VersionNews::Earlier(ms) => ms >= MIN_LOGGED_CORRECTION_MS,
-            VersionNews::Known => false,
+            VersionChange::New => true,
+            VersionChange::Earlier(ms) => ms >= MIN_LOGGED_CORRECTION_MS,
+            VersionChange::Known => false,
         };
-        if change == VersionNews::New {
+        if change == VersionChange::New {
             // Agents learn of it at once.
             self.briefing_due.notify_one();
         }
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -5,7 +5,7 @@
 use raildale_core::{
     LogEvent,
     fleet_message::NoticeEntry,
-    gateway::{NoticeNews, TargetNotice},
+    gateway::{NoticeChange, TargetNotice},
 };
 
 use super::{super::attempt::Attempt, EntryHost};
@@ -26,7 +26,7 @@
         drop(gateway);
         for change in news {
             self.log_notice(&attempt.target, notice, change);
-            if matches!(change, NoticeNews::Lower | NoticeNews::Leaving) {
+            if matches!(change, NoticeChange::Lower | NoticeChange::Leaving) {
                 self.urgent_heartbeat_due.notify_one();
             }
         }
@@ -36,18 +36,18 @@
         &self,
         target: &str,
         notice: TargetNotice,
-        news: NoticeNews,
+        news: NoticeChange,
     ) {
         let (event, suffix) = match news {
-            NoticeNews::Malformed => {
+            NoticeChange::Malformed => {
                 (LogEvent::NoticeMalformed, String::new())
             }
-            NoticeNews::Lower | NoticeNews::Higher => {
+            NoticeChange::Lower | NoticeChange::Higher => {
                 let limit = notice.limit_per_s;
                 (LogEvent::TargetLimited, format!(" limit_per_s={limit:?}"))
             }
-            NoticeNews::Leaving => (LogEvent::TargetLeaving, String::new()),
-            NoticeNews::Waits(ms) => {
+            NoticeChange::Leaving => (LogEvent::TargetLeaving, String::new()),
+            NoticeChange::Waits(ms) => {
                 (LogEvent::TargetWaits, format!(" wait_ms={ms}"))
             }
         };
@@ -63,7 +63,8 @@
         let now = now_ms();
         for report in reports {
             let mut gateway = self.gateway.borrow_mut();
-            let news = gateway.targets.notices.take_told(now, from, &report);
+            let news =
+                gateway.targets.notices.merge_remote(now, from, &report);
             drop(gateway);
             let notice = TargetNotice {
                 limit_per_s: report.limit_per_s,
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -5,7 +5,7 @@
     LogEvent, Name,
     catalog::{Kind, Progress, Snapshot, Stamp, StoredObject},
     fleet_message::DepartureEntry,
-    gateway::ends::StartId,
+    gateway::target_end::StartId,
 };
 
 use super::EntryHost;
@@ -89,7 +89,7 @@
     /// Returns the starts of targets that have left the list, for another
     /// entry host.
     pub fn departed(&self) -> Vec<DepartureEntry> {
-        self.gateway.borrow().targets.departed.told(now_ms())
+        self.gateway.borrow().targets.departed.outgoing(now_ms())
     }
 
     /// Handles the departed starts that another entry host reports, and
@@ -99,7 +99,7 @@
             return;
         }
         let targets = &mut self.gateway.borrow_mut().targets;
-        targets.departed.take_told(now_ms(), departures);
+        targets.departed.merge_remote(now_ms(), departures);
         let listed = targets.iter().map(|target| {
             (target.spec.id.clone(), target.start, target.spec.stamp)
         });
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -39,7 +39,7 @@
             return;
         }
         let mut gateway = self.gateway.borrow_mut();
-        gateway.quarantine.take_told(now_ms(), suspects);
+        gateway.quarantine.merge_remote(now_ms(), suspects);
         drop(gateway);
         self.publish_quarantine_changes();
     }
@@ -48,9 +48,9 @@
     /// are informed of a loss at once, and not with the next heartbeat.
     pub fn publish_quarantine_changes(&self) {
         let mut gateway = self.gateway.borrow_mut();
-        let changes = gateway.quarantine.take_news();
+        let changes = gateway.quarantine.take_changes();
         let is_urgent = gateway.quarantine.take_urgent();
-        let most_losses = gateway.quarantine.most_losses() as u64;
+        let most_losses = gateway.quarantine.max_losses() as u64;
         let culprits = gateway.quarantine.culprit_count() as u64;
         drop(gateway);
         self.metrics.set("suspect_losses_most", "", most_losses);
@@ -81,7 +81,7 @@
             return;
         };
         let mut gateway = self.gateway.borrow_mut();
-        gateway.quarantine.take_record(now_ms(), unix_ms(), record);
+        gateway.quarantine.merge_record(now_ms(), unix_ms(), record);
         drop(gateway);
         self.publish_quarantine_changes();
     }
--- a/crates/raildale/src/fleet/entry/stream_body.rs
+++ b/crates/raildale/src/fleet/entry/stream_body.rs
@@ -108,7 +108,7 @@
                         return Some(Ok(whole));
                     }
                 }
-                StreamInput::End if self.splitter.is_torn() => {
+                StreamInput::End if self.splitter.has_partial() => {
                     if let Some(failure) = self.resume(Cause::Target).await {
                         return Some(Err(failure));
                     }
@@ -157,10 +157,10 @@
                 has_begun: true,
                 resume_after: self.splitter.last_id(),
             };
-            let is_torn = self.splitter.is_torn();
+            let has_partial = self.splitter.has_partial();
             let is_good = |frame: &Option<Result<_, _>>| match frame {
                 Some(frame) => frame.is_ok(),
-                None => !is_torn,
+                None => !has_partial,
             };
             let frame = self.body.frame();
             match self.exchange.hedge(pending, frame, is_good).await {
@@ -201,7 +201,7 @@
     }
 
     fn continue_with(&mut self, from: &str, opened: Opened<P>) {
-        self.splitter.drop_torn();
+        self.splitter.discard_partial();
         self.body = opened.response.into_body();
         self.attempt = opened.attempt;
         self.buffered = opened.buffered.freeze();
