--- a/crates/raildale-core/src/entry/attempts.rs
+++ b/crates/raildale-core/src/entry/attempts.rs
@@ -8,7 +8,7 @@
     Code, LogEvent, Name, Ran,
     message::{Ended, Piece},
     request::{
-        admission::Waiting,
+        admission::QueuedRequest,
         dispatch::{Answer, Stage},
         run_key::RunKey,
     },
@@ -171,7 +171,8 @@
         let request = self.requests.get_mut(&id).expect("it is listed");
         request.stage = Stage::Queued;
         request.answer = Answer::new();
-        let waiting = Waiting { request: id, model: request.model.clone() };
+        let waiting =
+            QueuedRequest { request: id, model: request.model.clone() };
         let organisation = request.organisation.clone();
         let priority = request.submission.priority;
         self.queues.push(priority, &organisation, waiting);
--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -5,7 +5,7 @@
     Code, Digest, LogEvent, Name, Ran,
     message::{Body, Cancel, Dispatch},
     request::{
-        admission::{Priority, Waiting},
+        admission::{Priority, QueuedRequest},
         dispatch::{Answer, Request, Stage, Submission},
     },
 };
@@ -93,7 +93,11 @@
         };
         self.requests.insert(request, entry);
         self.deadlines.insert((deadline_ms, request));
-        self.queues.push(priority, &organisation, Waiting { request, model });
+        self.queues.push(
+            priority,
+            &organisation,
+            QueuedRequest { request, model },
+        );
         Ok(())
     }
 
--- a/crates/raildale-core/src/request/admission.rs
+++ b/crates/raildale-core/src/request/admission.rs
@@ -105,7 +105,7 @@
 
 /// A waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The request's number.
     pub request: u64,
     /// `organisation/model`.
@@ -120,7 +120,7 @@
 
 #[derive(Debug, Default)]
 struct Class {
-    organisations: VecDeque<(Name, VecDeque<Waiting>)>,
+    organisations: VecDeque<(Name, VecDeque<QueuedRequest>)>,
 }
 
 impl Queues {
@@ -157,7 +157,7 @@
         &mut self,
         priority: Priority,
         organisation: &Name,
-        waiting: Waiting,
+        waiting: QueuedRequest,
     ) {
         let class = self.classes.entry(priority).or_default();
         let known = class
@@ -176,8 +176,8 @@
     /// turns; one whose head may not go does not hold the others up.
     pub fn pop(
         &mut self,
-        mut may_go: impl FnMut(Priority, &Waiting) -> bool,
-    ) -> Option<Waiting> {
+        mut may_go: impl FnMut(Priority, &QueuedRequest) -> bool,
+    ) -> Option<QueuedRequest> {
         for (priority, class) in &mut self.classes {
             for _ in 0..class.organisations.len() {
                 let (name, mut queue) = class.organisations.pop_front()?;
