--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -168,7 +168,8 @@
                     .is_some_and(Request::key_is_held);
                 let capacity = router.capacity(&waiting.model, now_ms);
                 let room = router.room(&waiting.model, now_ms);
-                let kept = capacity * (100 - priority.room_percent()) / 100;
+                let kept =
+                    capacity * (100 - priority.max_fill_percent()) / 100;
                 is_pinned || room > kept
             });
             let Some(waiting) = next else { return };
--- a/crates/raildale-core/src/request/admission.rs
+++ b/crates/raildale-core/src/request/admission.rs
@@ -39,7 +39,7 @@
 
     /// Percent of a model's capacity that this class may fill. The rest is
     /// kept free for the classes above it.
-    pub fn room_percent(self) -> u64 {
+    pub fn max_fill_percent(self) -> u64 {
         match self {
             Priority::Urgent => 100,
             Priority::Normal => 90,
