--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -67,7 +67,7 @@
             return Err(soon(Code::NoTarget));
         }
         let priority = submission.priority;
-        let waiting = self.queues.len_of(priority, &organisation) as u64;
+        let waiting = self.queues.queue_len(priority, &organisation) as u64;
         if waiting >= rules.queue_places.value {
             return Err(soon(Code::QueueFull));
         }
--- a/crates/raildale-core/src/request/admission.rs
+++ b/crates/raildale-core/src/request/admission.rs
@@ -130,7 +130,7 @@
     }
 
     /// Requests of `organisation` that wait in `priority`.
-    pub fn len_of(&self, priority: Priority, organisation: &str) -> usize {
+    pub fn queue_len(&self, priority: Priority, organisation: &str) -> usize {
         let class = self.classes.get(&priority);
         class
             .and_then(|class| {
