--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -144,7 +144,7 @@
         now_ms: u64,
     ) -> Result<(), Final> {
         let Some(pace) = self.paces.get(model) else { return Ok(()) };
-        let ahead = self.queues.ahead_of(priority, model);
+        let ahead = self.queues.count_ahead(priority, model);
         if ahead == 0 {
             return Ok(());
         }
--- a/crates/raildale-core/src/request/admission.rs
+++ b/crates/raildale-core/src/request/admission.rs
@@ -143,7 +143,7 @@
     }
 
     /// Requests that wait in `priority` and the classes before it.
-    pub fn ahead_of(&self, priority: Priority, model: &str) -> u64 {
+    pub fn count_ahead(&self, priority: Priority, model: &str) -> u64 {
         self.classes
             .range(..=priority)
             .flat_map(|(_, class)| &class.organisations)
