--- a/crates/raildale-core/src/entry/attempts.rs
+++ b/crates/raildale-core/src/entry/attempts.rs
@@ -30,7 +30,7 @@
         if request.run_key.as_deref() != Some(piece.run_key.as_str()) {
             return late(&piece.run_key, effects);
         }
-        let new = request.answer.take(&piece);
+        let new = request.answer.append(&piece);
         if request.submission.stream && !new.is_empty() {
             effects.push(Effect::Stream(id, new));
         }
--- a/crates/raildale-core/src/request/dispatch.rs
+++ b/crates/raildale-core/src/request/dispatch.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes a piece in and returns what of it is new.
-    pub fn take(&mut self, piece: &Piece) -> Vec<u8> {
+    pub fn append(&mut self, piece: &Piece) -> Vec<u8> {
         let Some(skip) =
             (self.data.len() as u64).checked_sub(piece.offset_bytes)
         else {
