--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -476,7 +476,7 @@
             Body::Report(report) => {
                 self.agent_revisions
                     .insert(agent.clone(), report.settings_revision);
-                self.router.report(&agent, &report);
+                self.router.record_report(&agent, &report);
                 self.progress.insert(agent, report.progress);
                 self.pump(now_ms, effects);
             }
--- a/crates/raildale-core/src/request/routing.rs
+++ b/crates/raildale-core/src/request/routing.rs
@@ -141,7 +141,7 @@
     }
 
     /// Takes a load report in.
-    pub fn report(&mut self, name: &str, report: &Report) {
+    pub fn record_report(&mut self, name: &str, report: &Report) {
         let Some(target) = self.targets.get_mut(name) else { return };
         target.served = report
             .served
