--- a/crates/raildale-core/src/entry/attempts.rs
+++ b/crates/raildale-core/src/entry/attempts.rs
@@ -254,7 +254,7 @@
         let prefix = request.submission.prefix;
         let body = dispatch_body(request, now_ms);
         self.attempts.insert(attempt, id);
-        self.router.sent(agent, prefix);
+        self.router.record_dispatch(agent, prefix);
         effects.push(Effect::ToAgent(agent.clone(), body));
     }
 }
--- a/crates/raildale-core/src/request/routing.rs
+++ b/crates/raildale-core/src/request/routing.rs
@@ -215,7 +215,7 @@
     }
 
     /// A request went to `name`.
-    pub fn sent(&mut self, name: &str, prefix: u64) {
+    pub fn record_dispatch(&mut self, name: &str, prefix: u64) {
         if let Some((name, _)) = self.targets.get_key_value(name) {
             let name = name.clone();
             if self.prefixes.len() >= MAX_PREFIXES {
