--- a/crates/raildale-core/src/entry/attempts.rs
+++ b/crates/raildale-core/src/entry/attempts.rs
@@ -83,7 +83,7 @@
         }
         let worked =
             !matches!(code, Code::Cut | Code::Unknown | Code::TargetRefused);
-        if self.router.ended(agent, worked, now_ms) {
+        if self.router.record_result(agent, worked, now_ms) {
             let detail = agent.to_string();
             effects.push(Effect::Log(LogEvent::TargetSuspect, detail));
         }
--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -352,7 +352,7 @@
             // A target that let a deadline pass counts as failing, whatever
             // it reports of itself.
             let worked = last.code != Code::DeadlinePassed;
-            self.router.ended(agent, worked, now_ms);
+            self.router.record_result(agent, worked, now_ms);
         }
         self.deadlines.remove(&(request.deadline_ms, id));
         self.queues.remove(id);
--- a/crates/raildale-core/src/request/routing.rs
+++ b/crates/raildale-core/src/request/routing.rs
@@ -230,7 +230,12 @@
 
     /// An attempt at `name` ended; `worked` is whether the target did its
     /// part. Returns whether this took the target out of routing.
-    pub fn ended(&mut self, name: &str, worked: bool, now_ms: u64) -> bool {
+    pub fn record_result(
+        &mut self,
+        name: &str,
+        worked: bool,
+        now_ms: u64,
+    ) -> bool {
         let Some(target) = self.targets.get_mut(name) else { return false };
         target.own = target.own.saturating_sub(1);
         target.own_at_report = target.own_at_report.min(target.own);
