--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -167,7 +167,7 @@
                     .get(&waiting.request)
                     .is_some_and(Request::key_is_held);
                 let capacity = router.capacity(&waiting.model, now_ms);
-                let room = router.room(&waiting.model, now_ms);
+                let room = router.free_capacity(&waiting.model, now_ms);
                 let kept =
                     capacity * (100 - priority.max_fill_percent()) / 100;
                 is_pinned || room > kept
--- a/crates/raildale-core/src/request/routing.rs
+++ b/crates/raildale-core/src/request/routing.rs
@@ -163,7 +163,7 @@
     }
 
     /// Runs that targets of `model` have room for, all together.
-    pub fn room(&self, model: &str, now_ms: u64) -> u64 {
+    pub fn free_capacity(&self, model: &str, now_ms: u64) -> u64 {
         self.targets
             .values()
             .filter(|target| target.can_take(model, now_ms))
