--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -170,7 +170,7 @@
                     self.run_ended(&key, Code::Cancelled, now_ms, effects);
                 }
                 let (code, answer) =
-                    self.ledger.known(&key, expires_ms, now_ms);
+                    self.ledger.lookup(&key, expires_ms, now_ms);
                 let code = self.honest(code, &key);
                 (code, answer.unwrap_or_default().to_vec())
             }
--- a/crates/raildale-core/src/request/ledger.rs
+++ b/crates/raildale-core/src/request/ledger.rs
@@ -185,7 +185,7 @@
         expires_ms: u64,
         now_ms: u64,
     ) -> Code {
-        let known = self.known(key, expires_ms, now_ms).0;
+        let known = self.lookup(key, expires_ms, now_ms).0;
         if known != Code::Revoked || self.runs.contains_key(key) {
             return known;
         }
@@ -207,7 +207,7 @@
 
     /// What is known of a key. [`Code::Revoked`] for a key that never came:
     /// it says "not run" and is made true by [`Ledger::revoke`] alone.
-    pub fn known(
+    pub fn lookup(
         &self,
         key: &Name,
         expires_ms: u64,
