--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -105,7 +105,8 @@
         data: Vec<u8>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some((offset, listeners)) = self.ledger.piece(key, &data) else {
+        let Some((offset, listeners)) = self.ledger.append_piece(key, &data)
+        else {
             return;
         };
         for listener in listeners {
--- a/crates/raildale-core/src/request/ledger.rs
+++ b/crates/raildale-core/src/request/ledger.rs
@@ -230,7 +230,7 @@
     }
 
     /// Adds a piece to a running answer; returns its offset and who listens.
-    pub fn piece(
+    pub fn append_piece(
         &mut self,
         key: &Name,
         data: &[u8],
