--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -121,7 +121,7 @@
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(end) = self.ledger.end(key, code) else { return };
+        let Some(end) = self.ledger.finish(key, code) else { return };
         for listener in end.listeners {
             effects.push(ended(
                 key,
--- a/crates/raildale-core/src/request/ledger.rs
+++ b/crates/raildale-core/src/request/ledger.rs
@@ -255,7 +255,7 @@
 
     /// A run ended. A repeatable one is forgotten, since it may run again;
     /// the others stay, and their whole answers are kept for a while.
-    pub fn end(&mut self, key: &Name, code: Code) -> Option<End> {
+    pub fn finish(&mut self, key: &Name, code: Code) -> Option<End> {
         let run = self.runs.get_mut(key)?;
         let State::Running { listeners, answer } = &mut run.state else {
             return None;
