--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -457,7 +457,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.entries.remove(name);
-        for key in self.ledger.entry_gone(name) {
+        for key in self.ledger.remove_entry_host(name) {
             effects.push(Effect::StopRun(key));
         }
         self.trackers.retain(|_, tracker| tracker != name);
--- a/crates/raildale-core/src/request/ledger.rs
+++ b/crates/raildale-core/src/request/ledger.rs
@@ -283,7 +283,7 @@
 
     /// An entry host is gone. Returns the repeatable runs that nobody waits
     /// for now; the others go on, so that a retry finds their answers.
-    pub fn entry_gone(&mut self, entry: &str) -> Vec<Name> {
+    pub fn remove_entry_host(&mut self, entry: &str) -> Vec<Name> {
         let mut idle = vec![];
         for (key, run) in &mut self.runs {
             if let State::Running { listeners, .. } = &mut run.state {
