--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -144,7 +144,7 @@
     ) {
         let key: Name = cancel.run_key.as_str().into();
         let gone = Listener { entry, attempt: cancel.attempt };
-        let left = self.ledger.unlisten(&key, &gone);
+        let left = self.ledger.remove_listener(&key, &gone);
         if left == Some(0) && cancel.stop_run {
             effects.push(Effect::StopRun(key));
         }
--- a/crates/raildale-core/src/request/ledger.rs
+++ b/crates/raildale-core/src/request/ledger.rs
@@ -297,7 +297,11 @@
     }
 
     /// Forgets a listener; returns how many are left, if the key runs.
-    pub fn unlisten(&mut self, key: &Name, gone: &Listener) -> Option<usize> {
+    pub fn remove_listener(
+        &mut self,
+        key: &Name,
+        gone: &Listener,
+    ) -> Option<usize> {
         let run = self.runs.get_mut(key)?;
         let State::Running { listeners, .. } = &mut run.state else {
             return None;
