--- a/crates/raildale-core/src/request/dispatch.rs
+++ b/crates/raildale-core/src/request/dispatch.rs
@@ -1,39 +1,40 @@
-//! A request on its way through an entry host.
+//! The state of a request at an entry host.
 
 use crate::{Digest, Name, message::Piece, request::admission::Priority};
 
-/// What a caller asks for.
+/// A request as the caller submitted it.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// BLAKE3 of the caller's key.
+    /// The BLAKE3 hash of the caller's API key.
     pub key_hash: Digest,
     /// The model's name within the caller's organisation.
     pub model: Name,
-    /// The body for the target.
+    /// The body passed to the target.
     pub payload: Vec<u8>,
-    /// The class.
+    /// The priority class.
     pub priority: Priority,
-    /// How long the caller waits; the settings' deadline if absent.
+    /// How long the caller waits; `None` for the deadline in the settings.
     pub deadline_ms: Option<u64>,
-    /// Whether the request may run twice.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
-    /// The key that the caller got for this request earlier.
+    /// The run key that the caller received for this request earlier, if it
+    /// is a retry.
     pub run_key: Option<String>,
-    /// Whether the answer is sent on as it comes.
+    /// Whether the answer is streamed to the caller as it arrives.
     pub stream: bool,
-    /// Tokens wanted at most.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// W3C trace context of the entry host's span.
+    /// The W3C trace context of the entry host's span.
     pub traceparent: String,
-    /// A hash of the prompt's start, for prefix affinity.
+    /// A hash of the beginning of the prompt, for prefix affinity.
     pub prefix: u64,
 }
 
-/// What stands of an answer so far.
+/// The part of an answer received so far.
 ///
-/// An answer is whole when its length and digest equal those of its end mark.
-/// Pieces may come twice, after a connection was lost and joined again; the
-/// part that is here already is skipped.
+/// An answer is complete when its length and digest equal those in its end
+/// message. A piece may arrive twice after a connection was lost and
+/// re-established; bytes that were already received are skipped.
 #[derive(Debug, Default)]
 pub struct Answer {
     data: Vec<u8>,
@@ -41,12 +42,14 @@
 }
 
 impl Answer {
-    /// An empty answer.
+    /// Creates an empty answer.
     pub fn new() -> Answer {
         Answer::default()
     }
 
-    /// Takes a piece in and returns what of it is new.
+    /// Appends a piece and returns those of its bytes that are new. A piece
+    /// that leaves a gap is ignored, and the answer can then never be
+    /// complete.
     pub fn append(&mut self, piece: &Piece) -> Vec<u8> {
         let Some(skip) =
             (self.data.len() as u64).checked_sub(piece.offset_bytes)
@@ -59,78 +62,80 @@
         new
     }
 
-    /// Whether this is the answer that the end mark describes.
+    /// Returns whether the answer has the length and digest of its end
+    /// message and no gap.
     pub fn matches(&self, length_bytes: u64, digest: &[u8]) -> bool {
         !self.has_gap
             && self.data.len() as u64 == length_bytes
             && Digest::of(&self.data).as_bytes() == digest
     }
 
-    /// Bytes so far.
+    /// Returns the number of bytes received so far.
     pub fn len(&self) -> usize {
         self.data.len()
     }
 
-    /// Whether nothing has come.
+    /// Returns whether no bytes have been received.
     pub fn is_empty(&self) -> bool {
         self.data.is_empty()
     }
 
-    /// The bytes.
+    /// Returns the bytes received so far.
     pub fn into_bytes(self) -> Vec<u8> {
         self.data
     }
 }
 
-/// Where a request is.
+/// The processing stage of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// In a queue of this entry host; nothing was sent.
+    /// Queued at this entry host; nothing was sent to an agent.
     Queued,
-    /// With an agent.
+    /// Sent to an agent.
     Sent {
         /// The agent.
         agent: Name,
-        /// When it was sent.
+        /// The time at which it was sent.
         since_ms: u64,
     },
-    /// The connection to its agent was lost; it may be joined again.
+    /// The connection to the agent was lost; the entry host can attach to
+    /// the run again once it is re-established.
     Detached {
         /// The agent.
         agent: Name,
-        /// When to give up.
+        /// The time at which the entry host gives up.
         until_ms: u64,
     },
 }
 
-/// A request that is not answered yet.
+/// A request in progress.
 #[derive(Debug)]
 pub struct Request {
     /// The caller's organisation.
     pub organisation: Name,
     /// `organisation/model`.
     pub model: Name,
-    /// What the caller asked for.
+    /// The request as the caller submitted it.
     pub submission: Submission,
-    /// When the caller stops waiting.
+    /// The time at which the caller stops waiting.
     pub deadline_ms: u64,
-    /// Where it is.
+    /// The processing stage.
     pub stage: Stage,
-    /// The key of the current attempt.
+    /// The run key of the current attempt.
     pub run_key: Option<Name>,
-    /// The current attempt's number, unique at this entry host.
+    /// The number of the current attempt, unique at this entry host.
     pub attempt: u64,
-    /// Targets tried.
+    /// The targets tried so far.
     pub tried: Vec<Name>,
     /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
-    /// The answer so far.
+    /// The part of the answer received so far.
     pub answer: Answer,
 }
 
 impl Request {
-    /// Whether the caller may know the run key from before, so that an
-    /// earlier try may have run.
+    /// Returns whether the caller submitted a run key from an earlier
+    /// attempt, which may then have run.
     pub fn key_is_held(&self) -> bool {
         self.submission.run_key.is_some()
     }
