--- a/crates/raildale-core/src/request/ledger.rs
+++ b/crates/raildale-core/src/request/ledger.rs
@@ -1,23 +1,24 @@
-//! The agent's ledger of run keys: a key starts at most once.
+//! The agent's ledger of run keys, which starts each key at most once.
 //!
-//! An entry stays until its key's time is over, so a key that the ledger
-//! accepts can never have been forgotten by it. Answers are kept in bounded
-//! memory and may be dropped sooner; the fact that the key ran is not.
+//! An entry stays until its key expires, so a key that the ledger accepts can
+//! never have been removed from it. Answers are kept in bounded memory and
+//! may be dropped sooner; the record that the key ran is not.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{Code, Digest, Name};
 
-/// Bounds of a ledger.
+/// The limits of a ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerConfig {
-    /// Run keys at most; beyond it new ones are refused as not run, and as
-    /// many more are kept to make such refusals true.
+    /// The maximum number of run keys. Beyond it new keys are refused as not
+    /// run, and up to as many refused keys again are kept, so that they
+    /// cannot run later.
     pub max_runs: usize,
-    /// Bytes of kept answers at most.
+    /// The maximum total size of kept answers, in bytes.
     pub max_answer_bytes: usize,
-    /// A key whose time ends later than this from now is refused, which
-    /// bounds how long an entry has to stay.
+    /// The maximum time until a key expires. A key that expires later is
+    /// refused, which bounds how long an entry has to stay.
     pub max_ttl_ms: u64,
 }
 
@@ -31,44 +32,45 @@
     }
 }
 
-/// Who waits for a run's answer.
+/// An attempt at an entry host that waits for the answer of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listener {
     /// The entry host.
     pub entry: Name,
-    /// Its attempt's number.
+    /// The number of the attempt at that entry host.
     pub attempt: u64,
 }
 
-/// What the ledger says to a dispatch.
+/// The ledger's decision on a dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Start the run.
+    /// The run is to be started.
     Start,
-    /// It runs already; send what there is so far, then the rest.
+    /// The key is running. The listener was added and is to receive the
+    /// answer so far; the rest follows.
     Join {
         /// The answer so far.
         so_far: Vec<u8>,
     },
-    /// It ended; here is the answer.
+    /// The run has ended.
     Replay {
-        /// How it ended.
+        /// The outcome of the run.
         code: Code,
-        /// The whole answer, if it is still kept.
+        /// The complete answer, if it is still kept.
         answer: Option<Vec<u8>>,
     },
-    /// It will not run.
+    /// The run is refused.
     Refuse(Code),
 }
 
-/// How a run ended, for those who listened.
+/// The end of a run, as reported to its listeners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
-    /// Who listened.
+    /// The listeners at the time the run ended.
     pub listeners: Vec<Listener>,
-    /// The answer's length.
+    /// The length of the answer in bytes.
     pub length_bytes: u64,
-    /// The answer's digest.
+    /// The digest of the answer.
     pub digest: Digest,
 }
 
@@ -86,68 +88,70 @@
     repeatable: bool,
 }
 
-/// A dispatch as the ledger weighs it.
+/// A dispatch to be admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The run key's text.
+    /// The text of the run key.
     pub key: Name,
-    /// When the key's time is over.
+    /// The time at which the key expires.
     pub expires_ms: u64,
-    /// Whether the request may run twice.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
-    /// Who waits for the answer.
+    /// The attempt that waits for the answer.
     pub listener: Listener,
 }
 
-/// What is known of each run key.
+/// The state of each run key that an agent has received.
 #[derive(Debug)]
 pub struct Ledger {
     config: LedgerConfig,
     runs: BTreeMap<Name, Run>,
-    kept: VecDeque<Name>,
+    kept_keys: VecDeque<Name>,
     kept_bytes: usize,
     running: usize,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub fn new(config: LedgerConfig) -> Ledger {
         Ledger {
             config,
             runs: BTreeMap::new(),
-            kept: VecDeque::new(),
+            kept_keys: VecDeque::new(),
             kept_bytes: 0,
             running: 0,
         }
     }
 
-    /// Runs in progress.
+    /// Returns the number of runs in progress.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Run keys held.
+    /// Returns the number of run keys in the ledger.
     pub fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether `key` runs now.
+    /// Returns whether `key` is running.
     pub fn is_running(&self, key: &Name) -> bool {
         self.runs.get(key).is_some_and(Run::is_running)
     }
 
-    /// Whether `key` is in the ledger: it ran, runs, or is barred.
+    /// Returns whether `key` is in the ledger: it has run, is running, or
+    /// was refused or revoked.
     pub fn contains(&self, key: &Name) -> bool {
         self.runs.contains_key(key)
     }
 
-    /// Whether no run key is held.
+    /// Returns whether the ledger holds no run keys.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// Decides on a dispatch. `gate` refuses a key that has not run yet, for
-    /// a reason of the agent's own: leaving, no room, not ready.
+    /// Decides on a dispatch. `gate` is an error if the agent itself cannot
+    /// accept a new key, because it is leaving, full or not ready; it does
+    /// not apply to keys that are already in the ledger.
     pub fn admit(
         &mut self,
         candidate: Candidate,
@@ -165,11 +169,13 @@
             return Admission::Refuse(Code::RunKeyInvalid);
         }
         if self.runs.len() >= self.config.max_runs {
-            let code = self.bar(key, expires_ms, Code::LedgerFull);
+            let code = self.record_refusal(key, expires_ms, Code::LedgerFull);
             return Admission::Refuse(code);
         }
         if let Err(code) = gate {
-            return Admission::Refuse(self.bar(key, expires_ms, code));
+            return Admission::Refuse(
+                self.record_refusal(key, expires_ms, code),
+            );
         }
         let state =
             State::Running { listeners: vec![listener], answer: vec![] };
@@ -178,24 +184,32 @@
         Admission::Start
     }
 
-    /// Bars a key that has not run from ever running; says what is known.
+    /// Prevents a key that has not run from ever running. Returns the
+    /// resulting state of the key: [`Code::Revoked`] if it will not run, and
+    /// [`Code::Unknown`] if the ledger has no space to record that.
     pub fn revoke(
         &mut self,
         key: &Name,
         expires_ms: u64,
         now_ms: u64,
     ) -> Code {
-        let known = self.lookup(key, expires_ms, now_ms).0;
-        if known != Code::Revoked || self.runs.contains_key(key) {
-            return known;
+        let code = self.lookup(key, expires_ms, now_ms).0;
+        if code != Code::Revoked || self.runs.contains_key(key) {
+            return code;
         }
-        self.bar(key.clone(), expires_ms, Code::Revoked)
+        self.record_refusal(key.clone(), expires_ms, Code::Revoked)
     }
 
-    /// Makes a refusal true for good: the same dispatch may come once more,
-    /// late or through another entry host, and must not run then. Without a
-    /// place to remember it, "not run" would be a promise that nobody keeps.
-    fn bar(&mut self, key: Name, expires_ms: u64, code: Code) -> Code {
+    /// Records a refusal and returns `code`. The same dispatch may arrive
+    /// again, late or through another entry host, and must not run then.
+    /// Returns [`Code::Unknown`] if the ledger has no space to record it,
+    /// because "not run" could then turn out false.
+    fn record_refusal(
+        &mut self,
+        key: Name,
+        expires_ms: u64,
+        code: Code,
+    ) -> Code {
         if self.runs.len() >= 2 * self.config.max_runs {
             return Code::Unknown;
         }
@@ -205,8 +219,10 @@
         code
     }
 
-    /// What is known of a key. [`Code::Revoked`] for a key that never came:
-    /// it says "not run" and is made true by [`Ledger::revoke`] alone.
+    /// Returns the state of a key, and the answer of an ended run if it is
+    /// kept. A key that was never received yields [`Code::Revoked`] until it
+    /// expires, although only [`Ledger::revoke`] ensures that it does not run
+    /// later.
     pub fn lookup(
         &self,
         key: &Name,
@@ -214,9 +230,9 @@
         now_ms: u64,
     ) -> (Code, Option<&[u8]>) {
         let Some(run) = self.runs.get(key) else {
-            let is_past = expires_ms <= now_ms;
+            let is_expired = expires_ms <= now_ms;
             let code =
-                if is_past { Code::RunKeyExpired } else { Code::Revoked };
+                if is_expired { Code::RunKeyExpired } else { Code::Revoked };
             return (code, None);
         };
         match &run.state {
@@ -229,7 +245,9 @@
         }
     }
 
-    /// Adds a piece to a running answer; returns its offset and who listens.
+    /// Appends a piece to the answer of a run in progress. Returns the offset
+    /// of the piece in bytes and the listeners, or `None` if the key is not
+    /// running.
     pub fn append_piece(
         &mut self,
         key: &Name,
@@ -244,7 +262,8 @@
         Some((offset, listeners.clone()))
     }
 
-    /// The answer so far of a running key.
+    /// Returns the answer so far of a running key, or the kept answer of one
+    /// that has ended.
     pub fn answer_so_far(&self, key: &Name) -> Option<&[u8]> {
         match &self.runs.get(key)?.state {
             State::Running { answer, .. } => Some(answer),
@@ -253,8 +272,9 @@
         }
     }
 
-    /// A run ended. A repeatable one is forgotten, since it may run again;
-    /// the others stay, and their whole answers are kept for a while.
+    /// Records the end of a run; returns `None` if the key is not running.
+    /// The entry of a repeatable run is removed, since it may run again. The
+    /// others stay, and their complete answers are kept while there is space.
     pub fn finish(&mut self, key: &Name, code: Code) -> Option<End> {
         let run = self.runs.get_mut(key)?;
         let State::Running { listeners, answer } = &mut run.state else {
@@ -274,60 +294,62 @@
         let keep = code == Code::Done;
         run.state = State::Ended { code, answer: keep.then_some(answer) };
         if keep {
-            self.kept.push_back(key.clone());
+            self.kept_keys.push_back(key.clone());
             self.kept_bytes += end.length_bytes as usize;
             self.drop_old_answers();
         }
         Some(end)
     }
 
-    /// An entry host is gone. Returns the repeatable runs that nobody waits
-    /// for now; the others go on, so that a retry finds their answers.
+    /// Removes the listeners of an entry host that disconnected. Returns the
+    /// repeatable runs that have no listeners left; other runs continue, so
+    /// that a retry finds their answers.
     pub fn remove_entry_host(&mut self, entry: &str) -> Vec<Name> {
-        let mut idle = vec![];
+        let mut abandoned = vec![];
         for (key, run) in &mut self.runs {
             if let State::Running { listeners, .. } = &mut run.state {
                 listeners.retain(|listener| *listener.entry != *entry);
                 if listeners.is_empty() && run.repeatable {
-                    idle.push(key.clone());
+                    abandoned.push(key.clone());
                 }
             }
         }
-        idle
+        abandoned
     }
 
-    /// Forgets a listener; returns how many are left, if the key runs.
+    /// Removes a listener. Returns the number of listeners left, or `None` if
+    /// the key is not running.
     pub fn remove_listener(
         &mut self,
         key: &Name,
-        gone: &Listener,
+        removed: &Listener,
     ) -> Option<usize> {
         let run = self.runs.get_mut(key)?;
         let State::Running { listeners, .. } = &mut run.state else {
             return None;
         };
-        listeners.retain(|listener| listener != gone);
+        listeners.retain(|listener| listener != removed);
         Some(listeners.len())
     }
 
-    /// Forgets keys whose time is over. A run in progress stays.
+    /// Removes expired keys, except those of runs in progress.
     pub fn expire(&mut self, now_ms: u64) {
         let mut freed_bytes = 0;
         self.runs.retain(|_, run| {
-            let stays = run.expires_ms > now_ms || run.is_running();
-            if !stays {
+            let is_retained = run.expires_ms > now_ms || run.is_running();
+            if !is_retained {
                 freed_bytes += run.kept_bytes();
             }
-            stays
+            is_retained
         });
         self.kept_bytes -= freed_bytes;
         let runs = &self.runs;
-        self.kept.retain(|key| runs.contains_key(key));
+        self.kept_keys.retain(|key| runs.contains_key(key));
     }
 
     fn drop_old_answers(&mut self) {
         while self.kept_bytes > self.config.max_answer_bytes {
-            let Some(key) = self.kept.pop_front() else { return };
+            let Some(key) = self.kept_keys.pop_front() else { return };
             if let Some(run) = self.runs.get_mut(&key) {
                 self.kept_bytes -= run.kept_bytes();
                 if let State::Ended { answer, .. } = &mut run.state {
