--- a/crates/raildale-core/src/request/routing.rs
+++ b/crates/raildale-core/src/request/routing.rs
@@ -1,10 +1,10 @@
-//! Which target a request goes to.
+//! Target selection for a request.
 //!
 //! Load reports lag, so the dispatches made since a report are added to it.
-//! Two targets are drawn at random and the better is taken: against taking
-//! the least loaded by report, which sends every entry host to the same
-//! target until the next report. A prefix seen before draws a third
-//! candidate, a hint and never a promise.
+//! The less loaded of two randomly chosen targets is selected. Selecting the
+//! target with the least reported load instead would make every entry host
+//! choose the same target until the next report. A prompt prefix that was
+//! seen before adds a third candidate, which is preferred but not guaranteed.
 
 use std::collections::BTreeMap;
 
@@ -12,55 +12,57 @@
 
 use crate::{Digest, Name, message::Report};
 
-/// Failures in a row that take a target out of routing.
+/// Consecutive failures after which a target is excluded from routing.
 const BREAKER_FAILURES: u32 = 3;
 
-/// How long a target stays out before one request tries it again.
+/// How long a target stays excluded before requests are sent to it again.
 const BREAKER_PAUSE_MS: u64 = 2_000;
 
-/// Extra load, in permille of a target's capacity, that another data centre
-/// counts as. Small: crossing costs a few milliseconds only.
-const REMOTE_PERMILLE: u64 = 50;
+/// Load, in permille of its capacity, that is added to a target in another
+/// data centre. It is small because crossing costs only a few milliseconds.
+const REMOTE_COST_PERMILLE: u64 = 50;
 
-/// Prefixes remembered at most.
+/// The maximum number of prompt prefixes kept for affinity.
 const MAX_PREFIXES: usize = 10_000;
 
-/// How a target is picked among those that can serve.
+/// How a target is selected among those that can serve a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Two choices, corrected by own dispatches, with prefix affinity.
+    /// The better of two random choices, with this entry host's own
+    /// dispatches added to the reported load, and with prefix affinity.
     #[default]
     TwoChoices,
-    /// The least loaded by its last report. A baseline.
+    /// The target with the least reported load. A baseline.
     LeastReported,
-    /// Any. A baseline.
+    /// A random target. A baseline.
     Random,
-    /// Each in its turn. A baseline.
+    /// Round-robin. A baseline.
     RoundRobin,
 }
 
-/// One target as an entry host sees it.
+/// An entry host's view of one target.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The incarnation of its agent.
     pub incarnation: u64,
     /// Its data centre.
     pub data_centre: Name,
-    /// What it serves: model and, but for a plain service, the manifest.
+    /// The manifest digest of each model that it serves; `None` for a plain
+    /// service.
     pub served: BTreeMap<Name, Option<Digest>>,
-    /// Runs that it takes at once.
+    /// The maximum number of concurrent runs.
     pub capacity: u64,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
-    reported: u64,
-    own: u64,
-    own_at_report: u64,
+    reported_runs: u64,
+    own_runs: u64,
+    own_runs_at_report: u64,
     failures: u32,
-    out_until_ms: u64,
+    excluded_until_ms: u64,
 }
 
 impl Target {
-    /// A target that has not reported.
+    /// Creates a target that has not reported yet.
     pub fn new(incarnation: u64, data_centre: Name) -> Target {
         Target {
             incarnation,
@@ -68,79 +70,80 @@
             served: BTreeMap::new(),
             capacity: 0,
             leaving: false,
-            reported: 0,
-            own: 0,
-            own_at_report: 0,
+            reported_runs: 0,
+            own_runs: 0,
+            own_runs_at_report: 0,
             failures: 0,
-            out_until_ms: 0,
+            excluded_until_ms: 0,
         }
     }
 
-    /// Runs in progress as far as this entry host can tell: what others had
-    /// there at the last report, and its own now.
+    /// Returns an estimate of the runs in progress: those of other entry
+    /// hosts at the last report, and those of this one now.
     pub fn load(&self) -> u64 {
-        self.reported.saturating_sub(self.own_at_report) + self.own
+        self.reported_runs.saturating_sub(self.own_runs_at_report)
+            + self.own_runs
     }
 
-    /// Load in permille of what it takes at once.
+    /// Returns the load in permille of the capacity.
     fn load_permille(&self) -> u64 {
         self.load() * 1000 / self.capacity.max(1)
     }
 
-    fn can_take(&self, model: &str, now_ms: u64) -> bool {
+    fn can_serve(&self, model: &str, now_ms: u64) -> bool {
         !self.leaving
             && self.served.contains_key(model)
-            && self.out_until_ms <= now_ms
+            && self.excluded_until_ms <= now_ms
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_capacity(&self) -> bool {
         self.load() < self.capacity
     }
 }
 
-/// All targets as one entry host sees them.
+/// An entry host's view of all targets.
 #[derive(Debug)]
 pub struct Router {
     policy: Policy,
     data_centre: Name,
     targets: BTreeMap<Name, Target>,
     prefixes: BTreeMap<u64, Name>,
-    turn: usize,
+    round_robin_index: usize,
 }
 
 impl Router {
-    /// A router at an entry host in `data_centre`.
+    /// Creates a router for an entry host in `data_centre`.
     pub fn new(policy: Policy, data_centre: Name) -> Router {
         Router {
             policy,
             data_centre,
             targets: BTreeMap::new(),
             prefixes: BTreeMap::new(),
-            turn: 0,
+            round_robin_index: 0,
         }
     }
 
-    /// The targets by name.
+    /// Returns the targets, sorted by name.
     pub fn targets(&self) -> impl Iterator<Item = (&Name, &Target)> {
         self.targets.iter()
     }
 
-    /// One target.
+    /// Returns the target with this name, if its agent is connected.
     pub fn target(&self, name: &str) -> Option<&Target> {
         self.targets.get(name)
     }
 
-    /// An agent is connected.
+    /// Adds the target of an agent that connected.
     pub fn add(&mut self, name: Name, target: Target) {
         self.targets.insert(name, target);
     }
 
-    /// An agent is no longer connected.
+    /// Removes the target of an agent that disconnected.
     pub fn remove(&mut self, name: &str) {
         self.targets.remove(name);
     }
 
-    /// Takes a load report in.
+    /// Records a load report of a target.
     pub fn record_report(&mut self, name: &str, report: &Report) {
         let Some(target) = self.targets.get_mut(name) else { return };
         target.served = report
@@ -153,34 +156,37 @@
             .collect();
         target.capacity = report.capacity.into();
         target.leaving |= report.leaving;
-        target.reported = report.running.into();
-        target.own_at_report = target.own;
+        target.reported_runs = report.running.into();
+        target.own_runs_at_report = target.own_runs;
     }
 
-    /// Whether any target serves `model` now, with room or without.
+    /// Returns whether any target serves `model`, with or without free
+    /// capacity.
     pub fn serves(&self, model: &str, now_ms: u64) -> bool {
-        self.targets.values().any(|target| target.can_take(model, now_ms))
+        self.targets.values().any(|target| target.can_serve(model, now_ms))
     }
 
-    /// Runs that targets of `model` have room for, all together.
+    /// Returns the number of additional runs that the targets of `model` can
+    /// accept in total.
     pub fn free_capacity(&self, model: &str, now_ms: u64) -> u64 {
         self.targets
             .values()
-            .filter(|target| target.can_take(model, now_ms))
+            .filter(|target| target.can_serve(model, now_ms))
             .map(|target| target.capacity.saturating_sub(target.load()))
             .sum()
     }
 
-    /// Runs that targets of `model` take at once, all together.
+    /// Returns the total number of concurrent runs of the targets of `model`.
     pub fn capacity(&self, model: &str, now_ms: u64) -> u64 {
         self.targets
             .values()
-            .filter(|target| target.can_take(model, now_ms))
+            .filter(|target| target.can_serve(model, now_ms))
             .map(|target| target.capacity)
             .sum()
     }
 
-    /// Picks a target with room for `model`, leaving out `tried` ones.
+    /// Selects a target for `model` that has free capacity and is not in
+    /// `tried`. Returns `None` if there is none.
     pub fn pick(
         &mut self,
         model: &str,
@@ -189,32 +195,34 @@
         rng: &mut SmallRng,
         now_ms: u64,
     ) -> Option<Name> {
-        let open: Vec<Name> = self
+        let candidates: Vec<Name> = self
             .targets
             .iter()
             .filter(|(name, target)| {
-                target.can_take(model, now_ms)
-                    && target.has_room()
+                target.can_serve(model, now_ms)
+                    && target.has_free_capacity()
                     && !tried.contains(name)
             })
             .map(|(name, _)| name.clone())
             .collect();
-        if open.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let name = match self.policy {
-            Policy::TwoChoices => self.two_choices(&open, prefix, rng),
-            Policy::LeastReported => self.least_reported(&open),
-            Policy::Random => open[rng.random_range(0..open.len())].clone(),
+            Policy::TwoChoices => self.two_choices(&candidates, prefix, rng),
+            Policy::LeastReported => self.least_reported(&candidates),
+            Policy::Random => {
+                candidates[rng.random_range(0..candidates.len())].clone()
+            }
             Policy::RoundRobin => {
-                self.turn += 1;
-                open[self.turn % open.len()].clone()
+                self.round_robin_index += 1;
+                candidates[self.round_robin_index % candidates.len()].clone()
             }
         };
         Some(name)
     }
 
-    /// A request went to `name`.
+    /// Records that a request was dispatched to the target `name`.
     pub fn record_dispatch(&mut self, name: &str, prefix: u64) {
         if let Some((name, _)) = self.targets.get_key_value(name) {
             let name = name.clone();
@@ -224,34 +232,36 @@
             self.prefixes.insert(prefix, name);
         }
         if let Some(target) = self.targets.get_mut(name) {
-            target.own += 1;
+            target.own_runs += 1;
         }
     }
 
-    /// An attempt at `name` ended; `worked` is whether the target did its
-    /// part. Returns whether this took the target out of routing.
+    /// Records the end of an attempt at the target `name`; `succeeded` is
+    /// `false` if the target failed. Returns whether the target is excluded
+    /// from routing as a result.
     pub fn record_result(
         &mut self,
         name: &str,
-        worked: bool,
+        succeeded: bool,
         now_ms: u64,
     ) -> bool {
         let Some(target) = self.targets.get_mut(name) else { return false };
-        target.own = target.own.saturating_sub(1);
-        target.own_at_report = target.own_at_report.min(target.own);
-        if worked {
+        target.own_runs = target.own_runs.saturating_sub(1);
+        target.own_runs_at_report =
+            target.own_runs_at_report.min(target.own_runs);
+        if succeeded {
             target.failures = 0;
             return false;
         }
         target.failures += 1;
-        let is_out = target.failures >= BREAKER_FAILURES;
-        if is_out {
-            target.out_until_ms = now_ms + BREAKER_PAUSE_MS;
+        let is_excluded = target.failures >= BREAKER_FAILURES;
+        if is_excluded {
+            target.excluded_until_ms = now_ms + BREAKER_PAUSE_MS;
         }
-        is_out
+        is_excluded
     }
 
-    /// A target says that it is leaving.
+    /// Records that a target is leaving.
     pub fn set_leaving(&mut self, name: &str) {
         if let Some(target) = self.targets.get_mut(name) {
             target.leaving = true;
@@ -260,34 +270,36 @@
 
     fn two_choices(
         &self,
-        open: &[Name],
+        candidates: &[Name],
         prefix: u64,
         rng: &mut SmallRng,
     ) -> Name {
-        let first = &open[rng.random_range(0..open.len())];
-        let second = &open[rng.random_range(0..open.len())];
+        let first = &candidates[rng.random_range(0..candidates.len())];
+        let second = &candidates[rng.random_range(0..candidates.len())];
         let best = [first, second]
             .into_iter()
             .min_by_key(|name| self.cost(name))
-            .expect("there are two candidates");
-        let hinted = self
+            .expect("two candidates were drawn");
+        let preferred = self
             .prefixes
             .get(&prefix)
-            .filter(|name| open.contains(name))
+            .filter(|name| candidates.contains(name))
             .filter(|name| self.cost(name) <= self.cost(best) + 250);
-        hinted.unwrap_or(best).clone()
+        preferred.unwrap_or(best).clone()
     }
 
-    fn least_reported(&self, open: &[Name]) -> Name {
-        open.iter()
-            .min_by_key(|name| self.targets[*name].reported)
-            .expect("open is not empty")
+    fn least_reported(&self, candidates: &[Name]) -> Name {
+        candidates
+            .iter()
+            .min_by_key(|name| self.targets[*name].reported_runs)
+            .expect("candidates is not empty")
             .clone()
     }
 
     fn cost(&self, name: &str) -> u64 {
         let target = &self.targets[name];
         let is_remote = target.data_centre != self.data_centre;
-        target.load_permille() + if is_remote { REMOTE_PERMILLE } else { 0 }
+        target.load_permille()
+            + if is_remote { REMOTE_COST_PERMILLE } else { 0 }
     }
 }
