--- a/crates/raildale-core/src/request/run_key.rs
+++ b/crates/raildale-core/src/request/run_key.rs
@@ -1,26 +1,27 @@
-//! Run keys: what pins a request to the one process that may run it.
+//! Run keys, which pin a request to the one process that may run it.
 //!
-//! A key names the agent, and that agent's incarnation, whose ledger alone
-//! decides whether the request runs. A second try under the key, through any
-//! entry host, reaches the same ledger or none; when that incarnation is
-//! gone, nobody may run the key, and the outcome is said to be unknown.
-//! Weighed against a home at an entry host, leased slots and a platform write
-//! a request: this one needs no store and no hand-over, and its cost is that
-//! an agent's death makes the keys pinned to it useless.
+//! A key names an agent and the incarnation of that agent whose ledger alone
+//! decides whether the request runs. A retry under the key, through any entry
+//! host, reaches the same ledger or none. Once that incarnation is gone, no
+//! process may run the key, and the outcome is reported as unknown.
+//!
+//! Unlike pinning a request to an entry host, leasing slots or writing each
+//! request to the platform, this needs no store and no hand-over. Its cost is
+//! that the keys pinned to an agent become useless when the agent dies.
 
 use std::fmt;
 
 use crate::Name;
 
 const PREFIX: &str = "rk1";
-const MAC_HEX: usize = 32;
+const MAC_HEX_LEN: usize = 32;
 
-/// The cluster's key, which signs greetings and run keys.
+/// The secret key of the cluster, which signs greetings and run keys.
 #[derive(Clone)]
 pub struct ClusterKey([u8; 32]);
 
 impl ClusterKey {
-    /// Derives the key from the operators' secret text.
+    /// Derives the key from the secret text configured by the operators.
     pub fn new(secret: &str) -> ClusterKey {
         ClusterKey(blake3::derive_key(
             "raildale 2026 cluster key",
@@ -28,7 +29,8 @@
         ))
     }
 
-    /// Signs `parts`, each with its length, so that no two lists collide.
+    /// Returns the MAC of `parts`. Each part is hashed with its length, so
+    /// that no two different lists have the same input.
     pub fn sign(&self, parts: &[&[u8]]) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         for part in parts {
@@ -38,7 +40,7 @@
         *hasher.finalize().as_bytes()
     }
 
-    /// Whether `mac` is the signature of `parts`, in constant time.
+    /// Returns whether `mac` is the MAC of `parts`, in constant time.
     pub fn verifies(&self, parts: &[&[u8]], mac: &[u8]) -> bool {
         let expected = blake3::Hash::from_bytes(self.sign(parts));
         blake3::Hash::from_slice(mac).is_ok_and(|given| given == expected)
@@ -51,28 +53,29 @@
     }
 }
 
-/// A run key.
+/// A run key, which names the agent that alone may run a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunKey {
-    /// The agent that alone may run the request.
+    /// The name of the agent.
     pub agent: Name,
     /// The incarnation of that agent.
     pub incarnation: u64,
-    /// A number that tells this key from all others.
+    /// A number that distinguishes this key from all others.
     pub serial: u64,
-    /// When the key stops being good, on the issuer's clock.
+    /// The time at which the key expires, on the issuer's clock.
     pub expires_ms: u64,
 }
 
 impl RunKey {
-    /// The text that the caller keeps, signed for one organisation.
+    /// Returns the text given to the caller, signed for `organisation`.
     pub fn to_text(&self, cluster: &ClusterKey, organisation: &str) -> String {
         let body = self.body();
         let mac = mac(cluster, organisation, &body);
         format!("{body}.{mac}")
     }
 
-    /// Reads a text; `None` unless this cluster signed it for `organisation`.
+    /// Parses the text of a key. Returns `None` unless this cluster signed it
+    /// for `organisation`.
     pub fn parse(
         text: &str,
         cluster: &ClusterKey,
@@ -88,7 +91,8 @@
         RunKey::parse_body(body)
     }
 
-    /// Reads a text that another process of this cluster has checked.
+    /// Parses the text of a key whose signature another process of this
+    /// cluster has verified. Returns `None` if it is malformed.
     pub fn parse_unchecked(text: &str) -> Option<RunKey> {
         RunKey::parse_body(text.rsplit_once('.')?.0)
     }
@@ -117,6 +121,6 @@
     let mac =
         cluster.sign(&[b"run", organisation.as_bytes(), body.as_bytes()]);
     let mut text = blake3::Hash::from_bytes(mac).to_hex().to_string();
-    text.truncate(MAC_HEX);
+    text.truncate(MAC_HEX_LEN);
     text
 }
