--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -211,7 +211,7 @@
         address: String,
     },
     /// Drop the connection that this agent dialled.
-    Hangup(Name),
+    Disconnect(Name),
     /// Say something over the connection that this agent dialled.
     ToPeer(Name, Body),
     /// Say something over the connection that the peer dialled.
--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -421,7 +421,7 @@
             .values()
             .any(|download| download.is_neighbour(peer));
         if !is_used {
-            effects.push(Effect::Hangup(peer.clone()));
+            effects.push(Effect::Disconnect(peer.clone()));
         }
     }
 }
--- a/crates/raildale-core/tests/world/mod.rs
+++ b/crates/raildale-core/tests/world/mod.rs
@@ -676,7 +676,7 @@
         match effect {
             E::ToEntry(to, body) => self.send(name, &to, body, true),
             E::Dial { name: peer, .. } => self.want_link(name, &peer),
-            E::Hangup(peer) => {
+            E::Disconnect(peer) => {
                 self.cut(name, &peer);
                 self.links.remove(&(name.clone(), peer));
             }
--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -350,7 +350,7 @@
             }
             Effect::DialEntry(entry) => self.dial_entry(&entry),
             Effect::Dial { name, address } => self.dial_peer(name, &address),
-            Effect::Hangup(name) => self.hangup(&name),
+            Effect::Disconnect(name) => self.hangup(&name),
             Effect::ToPeer(name, body) => self.send_to_peer(name, body),
             Effect::ReplyToPeer(name, body) => {
                 if let Some(link) = self.accepted(&name) {
