--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -175,7 +175,7 @@
         /// The round of the order.
         round: u64,
         /// Whether it was taken.
-        taken: bool,
+        stored: bool,
     },
     /// The target answered an order to serve a version.
     Activated {
@@ -374,8 +374,8 @@
             Event::ManifestArrived(manifest) => {
                 self.manifest_arrived(manifest, now_ms, effects)
             }
-            Event::Staged { manifest, index, round, taken } => {
-                self.staged(manifest, index, round, taken, effects)
+            Event::Staged { manifest, index, round, stored } => {
+                self.staged(manifest, index, round, stored, effects)
             }
             Event::Activated { model, manifest, obeyed } => {
                 self.activated(&model, manifest, obeyed, effects)
--- a/crates/raildale-core/src/agent/target.rs
+++ b/crates/raildale-core/src/agent/target.rs
@@ -58,7 +58,7 @@
         manifest: Digest,
         index: usize,
         round: u64,
-        taken: bool,
+        stored: bool,
         effects: &mut Vec<Effect>,
     ) {
         let Some(download) = self.downloads.get_mut(&manifest) else { return };
@@ -67,7 +67,7 @@
         if round != download.round() {
             return;
         }
-        if !taken {
+        if !stored {
             effects.push(Effect::Stage { manifest, index, digest, round });
             return;
         }
--- a/crates/raildale-core/tests/world/mod.rs
+++ b/crates/raildale-core/tests/world/mod.rs
@@ -827,7 +827,7 @@
                     .entry(manifest)
                     .or_default()
                     .insert(index, digest);
-                agent::Event::Staged { manifest, index, round, taken: true }
+                agent::Event::Staged { manifest, index, round, stored: true }
             }
             TargetOrder::Activate(model, manifest, fence) => {
                 let is_low =
@@ -849,7 +849,7 @@
     fn fail(&mut self, host: &Name, incarnation: u64, order: TargetOrder) {
         let event = match order {
             TargetOrder::Stage(manifest, index, _, round) => {
-                agent::Event::Staged { manifest, index, round, taken: false }
+                agent::Event::Staged { manifest, index, round, stored: false }
             }
             TargetOrder::Activate(model, manifest, _) => {
                 agent::Event::Activated { model, manifest, obeyed: false }
--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -490,13 +490,13 @@
         let staging = self.staging.clone();
         tokio::spawn(async move {
             let Ok(_turn) = staging.acquire().await else { return };
-            let taken = target.stage(manifest, index, data).await;
-            if !taken {
+            let stored = target.stage(manifest, index, data).await;
+            if !stored {
                 // A target that is down is not asked in a tight loop.
                 tokio::time::sleep(TICK * 10).await;
             }
             let _ =
-                events.send(Event::Staged { manifest, index, round, taken });
+                events.send(Event::Staged { manifest, index, round, stored });
         });
     }
 
