--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -282,7 +282,7 @@
     rng: SmallRng,
     started_ms: u64,
     revision: RevisionGate,
-    text: Name,
+    settings_text: Name,
     tree: Tree,
     entries: BTreeMap<Name, EntryLink>,
     downloads: BTreeMap<Digest, Download>,
@@ -291,16 +291,16 @@
     peers_up: BTreeSet<Name>,
     uploads: UploadQueue,
     ledger: Ledger,
-    target: Option<Vec<(Name, Digest)>>,
+    served_by_target: Option<Vec<(Name, Digest)>>,
     leaving: bool,
     reported_ms: u64,
     checked_ms: u64,
     /// Orders to serve and their answers so far.
-    orders: u64,
+    order_events: u64,
     /// The same when the target was last asked what it serves, until it
     /// answers.
-    orders_at_check: Option<u64>,
-    next_round: u64,
+    order_events_at_check: Option<u64>,
+    last_round: u64,
 }
 
 #[derive(Debug, Default)]
@@ -315,7 +315,7 @@
             rng: SmallRng::seed_from_u64(config.seed),
             started_ms: now_ms,
             revision: RevisionGate::new(),
-            text: "".into(),
+            settings_text: "".into(),
             tree: Tree::default(),
             entries: BTreeMap::new(),
             downloads: BTreeMap::new(),
@@ -327,13 +327,13 @@
                 config.upload_places,
             ),
             ledger: Ledger::new(config.ledger.clone()),
-            target: None,
+            served_by_target: None,
             leaving: false,
             reported_ms: 0,
             checked_ms: 0,
-            orders: 0,
-            orders_at_check: None,
-            next_round: 1,
+            order_events: 0,
+            order_events_at_check: None,
+            last_round: 1,
             config,
         }
     }
@@ -348,23 +348,25 @@
         match event {
             Event::Tick => self.tick(now_ms, effects),
             Event::EntryUp(identity) => {
-                self.entry_up(identity, now_ms, effects)
+                self.on_entry_up(identity, now_ms, effects)
+            }
+            Event::EntryDown(name) => {
+                self.on_entry_down(&name, now_ms, effects)
             }
-            Event::EntryDown(name) => self.entry_down(&name, now_ms, effects),
             Event::FromEntry(name, body) => {
-                self.heard_entry(name, body, now_ms, effects)
+                self.on_entry_message(name, body, now_ms, effects)
             }
             Event::Settings { revision, text, tree } => {
-                self.offer_settings(revision, text, *tree, now_ms, effects)
+                self.on_settings(revision, text, *tree, now_ms, effects)
             }
-            Event::PeerUp(name) => self.peer_up(&name, now_ms, effects),
-            Event::PeerDown(name) => self.peer_down(&name, now_ms, effects),
-            Event::PeerLeft(name) => self.peer_left(&name, effects),
+            Event::PeerUp(name) => self.on_peer_up(&name, now_ms, effects),
+            Event::PeerDown(name) => self.on_peer_down(&name, now_ms, effects),
+            Event::PeerLeft(name) => self.on_peer_left(&name, effects),
             Event::FromPeer(name, body) => {
-                self.heard_peer(name, body, now_ms, effects)
+                self.on_peer_message(name, body, now_ms, effects)
             }
             Event::ChunkArrived { manifest, index, source, digest } => self
-                .chunk_arrived(
+                .on_chunk_arrived(
                     manifest, index, &source, digest, now_ms, effects,
                 ),
             Event::ChunkSent { peer, manifest, index } => {
@@ -372,22 +374,24 @@
                 self.send_uploads(next, effects);
             }
             Event::ManifestArrived(manifest) => {
-                self.manifest_arrived(manifest, now_ms, effects)
+                self.on_manifest_arrived(manifest, now_ms, effects)
             }
             Event::Staged { manifest, index, round, stored } => {
-                self.staged(manifest, index, round, stored, effects)
+                self.on_staged(manifest, index, round, stored, effects)
             }
             Event::Activated { model, manifest, obeyed } => {
-                self.activated(&model, manifest, obeyed, effects)
+                self.on_activated(&model, manifest, obeyed, effects)
             }
             Event::TargetServes(serves) => {
-                self.target_serves(serves, now_ms, effects)
+                self.on_target_serves(serves, now_ms, effects)
+            }
+            Event::RunPiece(key, data) => {
+                self.on_run_piece(&key, data, effects)
             }
-            Event::RunPiece(key, data) => self.run_piece(&key, data, effects),
             Event::RunEnded(key, code) => {
-                self.run_ended(&key, code, now_ms, effects)
+                self.on_run_ended(&key, code, now_ms, effects)
             }
-            Event::Leave => self.leave(now_ms, effects),
+            Event::Leave => self.on_leave(now_ms, effects),
         }
     }
 
@@ -398,7 +402,7 @@
 
     /// The settings' text in force.
     pub fn settings_text(&self) -> &Name {
-        &self.text
+        &self.settings_text
     }
 
     /// The versions on their way or here.
@@ -426,17 +430,17 @@
         self.spread_tick(now_ms, effects);
         self.ledger.expire(now_ms);
         if now_ms >= self.reported_ms + REPORT_EVERY_MS {
-            self.report(now_ms, effects);
+            self.send_report(now_ms, effects);
         }
         if now_ms >= self.checked_ms + CHECK_EVERY_MS {
             self.checked_ms = now_ms;
-            self.orders_at_check = Some(self.orders);
+            self.order_events_at_check = Some(self.order_events);
             effects.push(Effect::CheckTarget);
         }
         self.stop_if_done(effects);
     }
 
-    fn entry_up(
+    fn on_entry_up(
         &mut self,
         identity: Identity,
         now_ms: u64,
@@ -450,7 +454,7 @@
         self.choose_trackers(now_ms, effects);
     }
 
-    fn entry_down(
+    fn on_entry_down(
         &mut self,
         name: &Name,
         now_ms: u64,
@@ -464,7 +468,7 @@
         self.choose_trackers(now_ms, effects);
     }
 
-    fn heard_entry(
+    fn on_entry_message(
         &mut self,
         entry: Name,
         body: Body,
@@ -473,24 +477,24 @@
     ) {
         match body {
             Body::Heartbeat(heartbeat) => {
-                self.heard_revision(&entry, heartbeat, effects)
+                self.on_entry_revision(&entry, heartbeat, effects)
             }
-            Body::Grant(grant) => self.granted(grant, now_ms, effects),
-            Body::View(view) => self.view(view, now_ms, effects),
+            Body::Grant(grant) => self.on_grant(grant, now_ms, effects),
+            Body::View(view) => self.on_view(view, now_ms, effects),
             Body::Dispatch(dispatch) => {
-                self.dispatch(entry, dispatch, now_ms, effects)
+                self.on_dispatch(entry, dispatch, now_ms, effects)
             }
-            Body::Cancel(cancel) => self.cancel(entry, cancel, effects),
-            Body::Query(query) => self.query(entry, query, now_ms, effects),
-            Body::Drain(_) => self.leave(now_ms, effects),
-            Body::Entries(entries) => self.learn_entries(entries, effects),
-            _ => misplaced(&entry, effects),
+            Body::Cancel(cancel) => self.on_cancel(entry, cancel, effects),
+            Body::Query(query) => self.on_query(entry, query, now_ms, effects),
+            Body::Drain(_) => self.on_leave(now_ms, effects),
+            Body::Entries(entries) => self.on_entries(entries, effects),
+            _ => log_unexpected(&entry, effects),
         }
     }
 
     /// Keeps connections to a bounded number of entry hosts, each agent to
     /// others, so that no entry host holds all agents of a large fleet.
-    fn learn_entries(&mut self, entries: Entries, effects: &mut Vec<Effect>) {
+    fn on_entries(&mut self, entries: Entries, effects: &mut Vec<Effect>) {
         let known: BTreeMap<Name, PeerAddress> = entries
             .entries
             .into_iter()
@@ -505,7 +509,7 @@
         }
     }
 
-    fn heard_revision(
+    fn on_entry_revision(
         &mut self,
         entry: &Name,
         heartbeat: Heartbeat,
@@ -520,7 +524,7 @@
         }
     }
 
-    fn offer_settings(
+    fn on_settings(
         &mut self,
         revision: u64,
         text: Name,
@@ -540,7 +544,7 @@
         }
         self.revision.advance(revision);
         self.tree = tree;
-        self.text = text;
+        self.settings_text = text;
         let detail = revision.to_string();
         effects.push(Effect::Log(LogEvent::SettingsInForce, detail));
         for entry in self.entries.keys() {
@@ -557,7 +561,7 @@
             self.entries.values().filter(|link| link.revision > 0).count();
         let newest =
             self.entries.values().map(|link| link.revision).max().unwrap_or(0);
-        self.target.is_some()
+        self.served_by_target.is_some()
             && self.revision.in_force() > 0
             && self.revision.in_force() >= newest
             && (heard >= self.config.seeds
@@ -571,7 +575,7 @@
         })
     }
 
-    fn report(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
+    fn send_report(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
         self.reported_ms = now_ms;
         let body = Body::Report(self.report_body());
         for entry in self.entries.keys() {
@@ -590,11 +594,11 @@
         }
     }
 
-    fn leave(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
+    fn on_leave(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
         if !self.leaving {
             self.leaving = true;
             effects.push(Effect::Log(LogEvent::Stopping, String::new()));
-            self.report(now_ms, effects);
+            self.send_report(now_ms, effects);
         }
         self.stop_if_done(effects);
     }
@@ -609,6 +613,6 @@
     }
 }
 
-fn misplaced(from: &Name, effects: &mut Vec<Effect>) {
+fn log_unexpected(from: &Name, effects: &mut Vec<Effect>) {
     effects.push(Effect::Log(LogEvent::BadFrame, from.to_string()));
 }
--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -1,6 +1,6 @@
 //! The agent and its peers: who holds what, asking, serving.
 
-use super::{Agent, Effect, Scheme, misplaced};
+use super::{Agent, Effect, Scheme, log_unexpected};
 use crate::{
     Digest, LogEvent, Name,
     message::{
@@ -14,7 +14,7 @@
 };
 
 impl Agent {
-    pub(super) fn view(
+    pub(super) fn on_view(
         &mut self,
         view: View,
         now_ms: u64,
@@ -30,16 +30,19 @@
             });
         }
         for peer in &gone {
-            self.hangup_if_idle(peer, effects);
+            self.disconnect_if_unused(peer, effects);
         }
-        for name in self.peers_to_meet(digest) {
-            self.meet(digest, &name, effects);
+        for name in self.connected_new_neighbours(digest) {
+            self.start_exchange(digest, &name, effects);
         }
-        self.fill(digest, now_ms, effects);
+        self.request_chunks(digest, now_ms, effects);
     }
 
     /// Neighbours whose connections are up from an earlier spread.
-    pub(super) fn peers_to_meet(&self, digest: Digest) -> Vec<Name> {
+    pub(super) fn connected_new_neighbours(
+        &self,
+        digest: Digest,
+    ) -> Vec<Name> {
         let download = &self.downloads[&digest];
         download
             .neighbours()
@@ -50,7 +53,7 @@
             .collect()
     }
 
-    pub(super) fn peer_up(
+    pub(super) fn on_peer_up(
         &mut self,
         name: &Name,
         now_ms: u64,
@@ -60,8 +63,8 @@
         let digests: Vec<Digest> = self.downloads.keys().copied().collect();
         for digest in digests {
             if self.downloads[&digest].is_neighbour(name) {
-                self.meet(digest, name, effects);
-                self.fill(digest, now_ms, effects);
+                self.start_exchange(digest, name, effects);
+                self.request_chunks(digest, now_ms, effects);
             }
         }
     }
@@ -69,7 +72,7 @@
     /// Begins to exchange chunks with a neighbour whose connection is up,
     /// and which may not have heard of this spread yet: each side tells all
     /// it holds and asks for the same.
-    pub(super) fn meet(
+    pub(super) fn start_exchange(
         &mut self,
         digest: Digest,
         name: &Name,
@@ -82,12 +85,12 @@
             let body = Body::ManifestRequest(ask);
             effects.push(Effect::ToPeer(name.clone(), body));
         }
-        let mut have = all_held(download);
+        let mut have = full_have(download);
         have.asks = true;
         effects.push(Effect::ToPeer(name.clone(), Body::Have(have)));
     }
 
-    pub(super) fn peer_down(
+    pub(super) fn on_peer_down(
         &mut self,
         name: &Name,
         now_ms: u64,
@@ -98,12 +101,12 @@
         for digest in digests {
             let download = self.downloads.get_mut(&digest).expect("listed");
             let failed = download.peer_down(name);
-            self.tell_obtained(digest, vec![], failed, effects);
-            self.fill(digest, now_ms, effects);
+            self.report_obtained(digest, vec![], failed, effects);
+            self.request_chunks(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn peer_left(
+    pub(super) fn on_peer_left(
         &mut self,
         name: &Name,
         effects: &mut Vec<Effect>,
@@ -112,7 +115,7 @@
         self.send_uploads(next, effects);
     }
 
-    pub(super) fn heard_peer(
+    pub(super) fn on_peer_message(
         &mut self,
         peer: Name,
         body: Body,
@@ -120,19 +123,21 @@
         effects: &mut Vec<Effect>,
     ) {
         match body {
-            Body::Have(have) => self.peer_has(&peer, have, now_ms, effects),
-            Body::ChunkRequest(ask) => self.asked(peer, ask, effects),
+            Body::Have(have) => self.on_have(&peer, have, now_ms, effects),
+            Body::ChunkRequest(ask) => {
+                self.on_chunk_request(peer, ask, effects)
+            }
             Body::ChunkRefused(refused) => {
-                self.chunk_refused(&peer, refused, now_ms, effects)
+                self.on_chunk_refused(&peer, refused, now_ms, effects)
             }
             Body::ManifestRequest(ask) => {
-                self.manifest_asked(peer, ask, effects)
+                self.on_manifest_request(peer, ask, effects)
             }
-            _ => misplaced(&peer, effects),
+            _ => log_unexpected(&peer, effects),
         }
     }
 
-    pub(super) fn peer_has(
+    pub(super) fn on_have(
         &mut self,
         peer: &Name,
         have: Have,
@@ -143,14 +148,14 @@
         if let Some(download) = self.downloads.get_mut(&digest) {
             download.peer_has(peer, &have.bitmap, &have.indices);
             if have.asks {
-                let body = Body::Have(all_held(download));
+                let body = Body::Have(full_have(download));
                 effects.push(Effect::ReplyToPeer(peer.clone(), body));
             }
-            self.fill(digest, now_ms, effects);
+            self.request_chunks(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn manifest_asked(
+    pub(super) fn on_manifest_request(
         &mut self,
         peer: Name,
         ask: ManifestRequest,
@@ -168,7 +173,7 @@
         }
     }
 
-    pub(super) fn asked(
+    pub(super) fn on_chunk_request(
         &mut self,
         peer: Name,
         ask: ChunkRequest,
@@ -203,7 +208,7 @@
         }
     }
 
-    pub(super) fn chunk_refused(
+    pub(super) fn on_chunk_refused(
         &mut self,
         peer: &Name,
         refused: ChunkRefused,
@@ -218,12 +223,12 @@
         let give_back = download.refused(peer, index, refused.busy, now_ms);
         if give_back {
             let failed = vec![index];
-            self.tell_obtained(digest, vec![], failed, effects);
+            self.report_obtained(digest, vec![], failed, effects);
         }
-        self.fill(digest, now_ms, effects);
+        self.request_chunks(digest, now_ms, effects);
     }
 
-    pub(super) fn chunk_arrived(
+    pub(super) fn on_chunk_arrived(
         &mut self,
         manifest: Digest,
         index: usize,
@@ -237,7 +242,7 @@
             return;
         };
         let Some(digest) = digest else {
-            self.fetch_failed(manifest, index, source, effects);
+            self.on_fetch_failed(manifest, index, source, effects);
             return;
         };
         match download.arrived(source, index, digest, now_ms) {
@@ -248,7 +253,7 @@
                 effects.push(stage);
                 if granted {
                     let held = vec![index];
-                    self.tell_obtained(manifest, held, vec![], effects);
+                    self.report_obtained(manifest, held, vec![], effects);
                 }
                 self.announce(manifest, now_ms, effects);
                 self.log_if_whole(manifest, effects);
@@ -262,15 +267,15 @@
                     let detail = format!("{source:?}");
                     effects.push(Effect::Log(LogEvent::PeerBanned, detail));
                 }
-                self.give_back_if_granted(manifest, index, effects);
+                self.return_if_granted(manifest, index, effects);
             }
         }
-        self.fill(manifest, now_ms, effects);
+        self.request_chunks(manifest, now_ms, effects);
     }
 
     /// The next try waits for a tick, so that a dead origin is not asked in
     /// a tight loop.
-    pub(super) fn fetch_failed(
+    pub(super) fn on_fetch_failed(
         &mut self,
         manifest: Digest,
         index: usize,
@@ -281,10 +286,10 @@
             let detail = format!("chunk {index}");
             effects.push(Effect::Log(LogEvent::OriginFailed, detail));
         }
-        self.give_back_if_granted(manifest, index, effects);
+        self.return_if_granted(manifest, index, effects);
     }
 
-    pub(super) fn give_back_if_granted(
+    pub(super) fn return_if_granted(
         &mut self,
         manifest: Digest,
         index: usize,
@@ -292,7 +297,7 @@
     ) {
         let download = self.downloads.get_mut(&manifest);
         if download.is_some_and(|download| download.failed(index)) {
-            self.tell_obtained(manifest, vec![], vec![index], effects);
+            self.report_obtained(manifest, vec![], vec![index], effects);
         }
     }
 
@@ -308,7 +313,7 @@
     }
 
     /// Asks for chunks until the window is full.
-    pub(super) fn fill(
+    pub(super) fn request_chunks(
         &mut self,
         digest: Digest,
         now_ms: u64,
@@ -365,7 +370,7 @@
             .get(&manifest)
             .filter(|download| download.verified().contains(index))
             .and_then(|download| download.manifest())
-            .map(|text| text.chunks[index]);
+            .map(|contents| contents.chunks[index]);
         match checked {
             Some(digest) => effects.push(Effect::SendChunk {
                 peer,
@@ -411,7 +416,7 @@
         }
     }
 
-    pub(super) fn hangup_if_idle(
+    pub(super) fn disconnect_if_unused(
         &self,
         peer: &Name,
         effects: &mut Vec<Effect>,
@@ -426,7 +431,7 @@
     }
 }
 
-fn all_held(download: &Download) -> Have {
+fn full_have(download: &Download) -> Have {
     Have {
         manifest: download.digest().to_vec(),
         bitmap: download.verified().to_bitmap(),
--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -11,7 +11,7 @@
 };
 
 impl Agent {
-    pub(super) fn dispatch(
+    pub(super) fn on_dispatch(
         &mut self,
         entry: Name,
         dispatch: Dispatch,
@@ -23,7 +23,7 @@
             Listener { entry: entry.clone(), attempt: dispatch.attempt };
         let run_key = match self.own_key(&key) {
             Ok(run_key) => run_key,
-            Err(code) => return tell_end(&key, &listener, code, &[], effects),
+            Err(code) => return send_end(&key, &listener, code, &[], effects),
         };
         let gate = self.gate(&dispatch.model, dispatch.key_is_held);
         let candidate = Candidate {
@@ -40,13 +40,13 @@
                 effects.push(Effect::StartRun(order));
             }
             Admission::Join { so_far } => {
-                tell_piece(&key, &listener, 0, so_far, effects);
+                send_piece(&key, &listener, 0, so_far, effects);
             }
             Admission::Replay { code, answer } => {
                 replay(&key, &listener, code, answer, effects);
             }
             Admission::Refuse(code) => {
-                tell_end(&key, &listener, code, &[], effects);
+                send_end(&key, &listener, code, &[], effects);
             }
         }
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(super) fn run_piece(
+    pub(super) fn on_run_piece(
         &mut self,
         key: &Name,
         data: Vec<u8>,
@@ -110,11 +110,11 @@
             return;
         };
         for listener in listeners {
-            tell_piece(key, &listener, offset, data.clone(), effects);
+            send_piece(key, &listener, offset, data.clone(), effects);
         }
     }
 
-    pub(super) fn run_ended(
+    pub(super) fn on_run_ended(
         &mut self,
         key: &Name,
         code: Code,
@@ -123,7 +123,7 @@
     ) {
         let Some(end) = self.ledger.finish(key, code) else { return };
         for listener in end.listeners {
-            effects.push(ended(
+            effects.push(end_effect(
                 key,
                 &listener,
                 code,
@@ -132,11 +132,11 @@
             ));
         }
         if self.leaving {
-            self.leave(now_ms, effects);
+            self.on_leave(now_ms, effects);
         }
     }
 
-    pub(super) fn cancel(
+    pub(super) fn on_cancel(
         &mut self,
         entry: Name,
         cancel: Cancel,
@@ -150,7 +150,7 @@
         }
     }
 
-    pub(super) fn query(
+    pub(super) fn on_query(
         &mut self,
         entry: Name,
         query: Query,
@@ -168,11 +168,11 @@
                 let is_running = self.ledger.is_running(&key);
                 if query.revoke && is_running {
                     effects.push(Effect::StopRun(key.clone()));
-                    self.run_ended(&key, Code::Cancelled, now_ms, effects);
+                    self.on_run_ended(&key, Code::Cancelled, now_ms, effects);
                 }
                 let (code, answer) =
                     self.ledger.lookup(&key, expires_ms, now_ms);
-                let code = self.honest(code, &key);
+                let code = self.confirmed_code(code, &key);
                 (code, answer.unwrap_or_default().to_vec())
             }
         };
@@ -182,7 +182,7 @@
 
     /// "Not run" is only true of a key that is barred from now on. A key that
     /// was merely asked about may still arrive.
-    fn honest(&self, code: Code, key: &Name) -> Code {
+    fn confirmed_code(&self, code: Code, key: &Name) -> Code {
         match code {
             Code::Revoked if !self.ledger.contains(key) => Code::Unknown,
             code => code,
@@ -199,19 +199,25 @@
 ) {
     match (code, answer) {
         (Code::Done, None) => {
-            tell_end(key, listener, Code::AnswerGone, &[], effects)
+            send_end(key, listener, Code::AnswerGone, &[], effects)
         }
         (code, answer) => {
             let answer = answer.unwrap_or_default();
             let length_bytes = answer.len() as u64;
             let digest = Digest::of(&answer);
-            tell_piece(key, listener, 0, answer, effects);
-            effects.push(ended(key, listener, code, length_bytes, digest));
+            send_piece(key, listener, 0, answer, effects);
+            effects.push(end_effect(
+                key,
+                listener,
+                code,
+                length_bytes,
+                digest,
+            ));
         }
     }
 }
 
-fn tell_piece(
+fn send_piece(
     key: &Name,
     listener: &Listener,
     offset_bytes: u64,
@@ -231,7 +237,7 @@
     effects.push(Effect::ToEntry(listener.entry.clone(), body));
 }
 
-fn tell_end(
+fn send_end(
     key: &Name,
     listener: &Listener,
     code: Code,
@@ -240,10 +246,10 @@
 ) {
     let length_bytes = answer.len() as u64;
     let digest = Digest::of(answer);
-    effects.push(ended(key, listener, code, length_bytes, digest));
+    effects.push(end_effect(key, listener, code, length_bytes, digest));
 }
 
-fn ended(
+fn end_effect(
     key: &Name,
     listener: &Listener,
     code: Code,
--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -28,20 +28,20 @@
             wanted.iter().any(|wanted| wanted.model == *name)
         });
         for wanted in wanted {
-            self.want(wanted, now_ms, effects);
+            self.update_model(wanted, now_ms, effects);
         }
         self.drop_unneeded(effects);
         self.choose_trackers(now_ms, effects);
-        self.activate_whole(effects);
+        self.activate_staged(effects);
     }
 
-    pub(super) fn want(
+    pub(super) fn update_model(
         &mut self,
         wanted: Wanted,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let serves = self.target.iter().flatten();
+        let serves = self.served_by_target.iter().flatten();
         let state = self
             .models
             .entry(wanted.model)
@@ -61,8 +61,8 @@
             self.config.chunk_bytes,
         )
         .with_window(self.config.window);
-        self.next_round += 1;
-        let round = self.next_round;
+        self.last_round += 1;
+        let round = self.last_round;
         let path = wanted.origin_path;
         let mut download = Download::new(digest, path, config, round, now_ms);
         download.set_paused(wanted.paused);
@@ -73,10 +73,11 @@
     /// A version that was replaced midway stays until its successor has its
     /// manifest, so that chunks with the same bytes are carried over.
     pub(super) fn drop_unneeded(&mut self, effects: &mut Vec<Effect>) {
-        let awaited = self.downloads.iter().any(|(digest, download)| {
-            download.manifest().is_none() && self.is_needed(*digest)
-        });
-        if awaited {
+        let is_awaiting_manifest =
+            self.downloads.iter().any(|(digest, download)| {
+                download.manifest().is_none() && self.is_needed(*digest)
+            });
+        if is_awaiting_manifest {
             return;
         }
         let unneeded: Vec<Digest> = self
@@ -105,14 +106,14 @@
             effects.push(Effect::ToEntry(tracker, part));
         }
         let kept: BTreeSet<Digest> =
-            self.downloads.values().flat_map(checked_digests).collect();
-        for chunk in checked_digests(&download) {
+            self.downloads.values().flat_map(verified_digests).collect();
+        for chunk in verified_digests(&download) {
             if !kept.contains(&chunk) {
                 effects.push(Effect::DropChunk(chunk));
             }
         }
         for peer in download.neighbours() {
-            self.hangup_if_idle(peer, effects);
+            self.disconnect_if_unused(peer, effects);
         }
         effects.push(Effect::Log(LogEvent::SpreadDropped, digest.to_hex()));
     }
@@ -146,12 +147,12 @@
                 let detail = owner.to_string();
                 effects.push(Effect::Log(LogEvent::TrackerMoved, detail));
             }
-            let join = Body::Join(join(&self.downloads[&digest]));
+            let join = Body::Join(join_message(&self.downloads[&digest]));
             effects.push(Effect::ToEntry(owner, join));
         }
     }
 
-    pub(super) fn manifest_arrived(
+    pub(super) fn on_manifest_arrived(
         &mut self,
         manifest: Manifest,
         now_ms: u64,
@@ -165,14 +166,14 @@
         if !is_new {
             return;
         }
-        let here: BTreeSet<Digest> =
-            self.downloads.values().flat_map(checked_digests).collect();
+        let available: BTreeSet<Digest> =
+            self.downloads.values().flat_map(verified_digests).collect();
         let Some(download) = self.downloads.get_mut(&digest) else { return };
         let chunks = manifest.chunks.clone();
         download.set_manifest(manifest);
         let mut kept = vec![];
         for (index, chunk) in chunks.into_iter().enumerate() {
-            if here.contains(&chunk) {
+            if available.contains(&chunk) {
                 download.keep(index, chunk);
                 kept.push(index);
                 effects.push(Effect::Stage {
@@ -183,12 +184,12 @@
                 });
             }
         }
-        self.tell_obtained(digest, kept, vec![], effects);
+        self.report_obtained(digest, kept, vec![], effects);
         self.drop_unneeded(effects);
-        self.fill(digest, now_ms, effects);
+        self.request_chunks(digest, now_ms, effects);
     }
 
-    pub(super) fn granted(
+    pub(super) fn on_grant(
         &mut self,
         grant: Grant,
         now_ms: u64,
@@ -197,11 +198,11 @@
         let Some(digest) = Digest::from_slice(&grant.manifest) else { return };
         if let Some(download) = self.downloads.get_mut(&digest) {
             download.grant(grant.chunks);
-            self.fill(digest, now_ms, effects);
+            self.request_chunks(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn tell_obtained(
+    pub(super) fn report_obtained(
         &self,
         manifest: Digest,
         held: Vec<usize>,
@@ -228,19 +229,19 @@
     ) {
         let digests: Vec<Digest> = self.downloads.keys().copied().collect();
         for digest in digests {
-            self.expire(digest, now_ms, effects);
+            self.expire_requests(digest, now_ms, effects);
             self.announce(digest, now_ms, effects);
             match self.config.scheme {
-                Scheme::Swarm => self.fill(digest, now_ms, effects),
+                Scheme::Swarm => self.request_chunks(digest, now_ms, effects),
                 Scheme::Origin => {
-                    self.fill_from_origin(digest, now_ms, effects)
+                    self.request_chunks_from_origin(digest, now_ms, effects)
                 }
             }
-            self.fall_back(digest, now_ms, effects);
+            self.fall_back_to_origin(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn expire(
+    pub(super) fn expire_requests(
         &mut self,
         digest: Digest,
         now_ms: u64,
@@ -252,12 +253,12 @@
             let detail = format!("{source:?} chunk {index}");
             effects.push(Effect::Log(LogEvent::ChunkLate, detail));
             if granted {
-                self.tell_obtained(digest, vec![], vec![index], effects);
+                self.report_obtained(digest, vec![], vec![index], effects);
             }
         }
     }
 
-    pub(super) fn fill_from_origin(
+    pub(super) fn request_chunks_from_origin(
         &mut self,
         digest: Digest,
         now_ms: u64,
@@ -273,7 +274,7 @@
         }
     }
 
-    pub(super) fn fall_back(
+    pub(super) fn fall_back_to_origin(
         &mut self,
         digest: Digest,
         now_ms: u64,
@@ -292,12 +293,12 @@
     }
 }
 
-fn checked_digests(download: &Download) -> impl Iterator<Item = Digest> + '_ {
+fn verified_digests(download: &Download) -> impl Iterator<Item = Digest> + '_ {
     let chunks = download.manifest().map_or(&[][..], |m| &m.chunks);
     download.verified().iter().map(|index| chunks[index])
 }
 
-fn join(download: &Download) -> Join {
+fn join_message(download: &Download) -> Join {
     Join {
         manifest: download.digest().to_vec(),
         origin_path: download.origin_path().to_string(),
--- a/crates/raildale-core/src/agent/target.rs
+++ b/crates/raildale-core/src/agent/target.rs
@@ -53,7 +53,7 @@
 }
 
 impl Agent {
-    pub(super) fn staged(
+    pub(super) fn on_staged(
         &mut self,
         manifest: Digest,
         index: usize,
@@ -62,8 +62,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(download) = self.downloads.get_mut(&manifest) else { return };
-        let Some(text) = download.manifest() else { return };
-        let digest = text.chunks[index];
+        let Some(contents) = download.manifest() else { return };
+        let digest = contents.chunks[index];
         if round != download.round() {
             return;
         }
@@ -72,13 +72,13 @@
             return;
         }
         download.set_staged(index);
-        self.activate_whole(effects);
+        self.activate_staged(effects);
     }
 
     /// Orders the target to serve each wanted version that is whole in its
     /// slot. One order a model is in flight at a time: a target that does not
     /// check fences would otherwise obey two in any order.
-    pub(super) fn activate_whole(&mut self, effects: &mut Vec<Effect>) {
+    pub(super) fn activate_staged(&mut self, effects: &mut Vec<Effect>) {
         let fence = Fence {
             revision: self.revision.in_force(),
             incarnation: self.config.incarnation,
@@ -94,7 +94,7 @@
             }
             assert_whole(download);
             state.ordered = Some(wanted);
-            self.orders += 1;
+            self.order_events += 1;
             effects.push(Effect::Activate {
                 model: model.clone(),
                 manifest: wanted,
@@ -103,7 +103,7 @@
         }
     }
 
-    pub(super) fn activated(
+    pub(super) fn on_activated(
         &mut self,
         model: &Name,
         manifest: Digest,
@@ -112,7 +112,7 @@
     ) {
         let Some(state) = self.models.get_mut(model) else { return };
         state.ordered = None;
-        self.orders += 1;
+        self.order_events += 1;
         if obeyed {
             state.active = Some(manifest);
             let detail = format!("{model} {}", manifest.to_hex());
@@ -128,14 +128,14 @@
     /// Compares what the target serves with what was ordered. A target that
     /// restarted, or that obeyed an order of an earlier incarnation of this
     /// agent, is brought back in line.
-    pub(super) fn target_serves(
+    pub(super) fn on_target_serves(
         &mut self,
         serves: Vec<(Name, Digest)>,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         // An answer that an order overtook may be from before it.
-        if self.orders_at_check.take() != Some(self.orders) {
+        if self.order_events_at_check.take() != Some(self.order_events) {
             return;
         }
         let mut restage = vec![];
@@ -156,8 +156,8 @@
             let Some(download) = self.downloads.get_mut(&digest) else {
                 continue;
             };
-            self.next_round += 1;
-            let round = self.next_round;
+            self.last_round += 1;
+            let round = self.last_round;
             for (index, chunk) in download.restage(round) {
                 effects.push(Effect::Stage {
                     manifest: digest,
@@ -167,7 +167,7 @@
                 });
             }
         }
-        self.target = Some(serves);
+        self.served_by_target = Some(serves);
         self.follow_settings(now_ms, effects);
     }
 
