--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -184,7 +184,7 @@
         /// The version.
         manifest: Digest,
         /// Whether it obeyed.
-        obeyed: bool,
+        activated: bool,
     },
     /// What the target says that it serves.
     TargetServes(Vec<(Name, Digest)>),
@@ -379,8 +379,8 @@
             Event::Staged { manifest, index, round, stored } => {
                 self.on_staged(manifest, index, round, stored, effects)
             }
-            Event::Activated { model, manifest, obeyed } => {
-                self.on_activated(&model, manifest, obeyed, effects)
+            Event::Activated { model, manifest, activated } => {
+                self.on_activated(&model, manifest, activated, effects)
             }
             Event::TargetServes(serves) => {
                 self.on_target_serves(serves, now_ms, effects)
--- a/crates/raildale-core/src/agent/target.rs
+++ b/crates/raildale-core/src/agent/target.rs
@@ -107,13 +107,13 @@
         &mut self,
         model: &Name,
         manifest: Digest,
-        obeyed: bool,
+        activated: bool,
         effects: &mut Vec<Effect>,
     ) {
         let Some(state) = self.models.get_mut(model) else { return };
         state.ordered = None;
         self.order_events += 1;
-        if obeyed {
+        if activated {
             state.active = Some(manifest);
             let detail = format!("{model} {}", manifest.to_hex());
             effects.push(Effect::Log(LogEvent::Activated, detail));
--- a/crates/raildale-core/tests/world/mod.rs
+++ b/crates/raildale-core/tests/world/mod.rs
@@ -832,12 +832,12 @@
             TargetOrder::Activate(model, manifest, fence) => {
                 let is_low =
                     target.fence.is_some_and(|highest| fence < highest);
-                let obeyed = !(target.checks_fences && is_low);
-                if obeyed {
+                let activated = !(target.checks_fences && is_low);
+                if activated {
                     target.active = Some(manifest);
                     target.fence = target.fence.max(Some(fence));
                 }
-                agent::Event::Activated { model, manifest, obeyed }
+                agent::Event::Activated { model, manifest, activated }
             }
         };
         let wait = self.rng.random_range(1..10);
@@ -852,7 +852,7 @@
                 agent::Event::Staged { manifest, index, round, stored: false }
             }
             TargetOrder::Activate(model, manifest, _) => {
-                agent::Event::Activated { model, manifest, obeyed: false }
+                agent::Event::Activated { model, manifest, activated: false }
             }
         };
         self.later(0, Happening::Agent(host.clone(), incarnation, event));
--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -373,9 +373,9 @@
                 let target = self.target.clone();
                 let events = self.events_tx.clone();
                 tokio::spawn(async move {
-                    let obeyed =
+                    let activated =
                         target.activate(&model, manifest, fence).await;
-                    let done = Event::Activated { model, manifest, obeyed };
+                    let done = Event::Activated { model, manifest, activated };
                     let _ = events.send(done);
                 });
             }
