--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -1,9 +1,9 @@
-//! The agent's reducer: one process on each target host.
+//! The reducer of the agent, a process that runs on each target host.
 //!
-//! It fetches, checks and serves chunks, gives the target its fenced orders,
-//! and gates every request in front of the target. It is the only way to its
-//! target, which is what makes its checks stand in for those of a target that
-//! checks nothing itself.
+//! It fetches, verifies and serves chunks, gives the target fenced orders,
+//! and admits or refuses every request to the target. All requests to a
+//! target pass through its agent, so the agent's checks also protect a target
+//! that checks nothing itself.
 
 mod peers;
 mod runs;
@@ -30,20 +30,21 @@
 
 use self::target::ModelState;
 
-/// How often an agent reports its load.
+/// The interval between load reports.
 const REPORT_EVERY_MS: u64 = 500;
 
-/// How often an agent compares its target with what it ordered.
+/// The interval at which an agent compares what its target serves with its
+/// orders.
 const CHECK_EVERY_MS: u64 = 1_000;
 
-/// How long a starting agent listens for settings newer than the first it
-/// hears, before it gives orders.
+/// How long a starting agent waits for newer settings than the first that it
+/// receives, before it acts on them.
 const LISTEN_MS: u64 = 700;
 
-/// Entry hosts that an agent keeps connections to.
+/// The number of entry hosts that an agent keeps connections to.
 const ENTRY_FANOUT: usize = 8;
 
-/// What an agent is told at its start.
+/// The configuration of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
     /// Its name.
@@ -52,110 +53,115 @@
     pub incarnation: u64,
     /// The pool of its host.
     pub pool: Name,
-    /// What its host's link carries.
+    /// The bandwidth of its host's link.
     pub link_bytes_per_s: u64,
-    /// Bytes of a chunk, for deadlines.
+    /// The size of a chunk in bytes, from which time-outs are derived.
     pub chunk_bytes: u64,
-    /// Chunks asked for at once, grants not counted.
+    /// The maximum number of chunks requested at once. Granted chunks are
+    /// requested even if it is reached.
     pub window: usize,
-    /// Chunks that leave at once.
+    /// The maximum number of concurrent chunk uploads.
     pub upload_slots: usize,
-    /// Chunks that wait for a slot.
+    /// The maximum number of uploads that wait for a slot. Granted chunks
+    /// are queued even if it is reached.
     pub upload_places: usize,
-    /// Runs that the target takes at once.
+    /// The maximum number of concurrent runs at the target.
     pub capacity: u32,
-    /// Bounds of the ledger of run keys.
+    /// The limits of the ledger of run keys.
     pub ledger: LedgerConfig,
-    /// How chunks are found.
+    /// How chunks are obtained.
     pub scheme: Scheme,
-    /// Entry hosts that it was told of; it listens to all before it acts.
+    /// The number of configured entry hosts. The agent waits until it has
+    /// heard from that many, or for a bounded time, before it acts.
     pub seeds: usize,
-    /// Seed of its random choices.
+    /// The seed of its random number generator.
     pub seed: u64,
 }
 
-/// How an agent finds chunks. Two of these are baselines.
+/// How an agent obtains chunks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Scheme {
-    /// Pull from neighbours, rarest first; a tracker grants the rest.
+    /// Pull from neighbours, rarest first; a tracker grants the chunks that
+    /// are to be fetched from elsewhere.
     #[default]
     Swarm,
-    /// Every host fetches everything from the origin.
+    /// Fetch every chunk from the origin. A baseline.
     Origin,
 }
 
-/// A fence: a target that checks refuses an order with a lower one.
+/// The fencing token of an order. A target that checks fences refuses an order
+/// with a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fence {
-    /// The settings' revision behind the order.
+    /// The settings revision on which the order is based.
     pub revision: u64,
-    /// The incarnation of the agent that gives it.
+    /// The incarnation of the agent that gives the order.
     pub incarnation: u64,
 }
 
-/// A run for the target.
+/// A run to be started at the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunOrder {
-    /// The run key's text.
+    /// The text of the run key.
     pub key: Name,
     /// `organisation/model`.
     pub model: Name,
-    /// The request's body.
+    /// The body of the request.
     pub payload: Vec<u8>,
-    /// 0 urgent, 1 normal, 2 bulk.
+    /// The priority class: 0 urgent, 1 normal, 2 bulk.
     pub priority: u32,
-    /// Tokens at most.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Time left.
+    /// The time left until the deadline.
     pub budget_ms: u64,
-    /// Salt for the prefix cache.
+    /// The salt for the prefix cache.
     pub cache_salt: String,
-    /// W3C trace context of the entry host's span.
+    /// The W3C trace context of the entry host's span.
     pub traceparent: String,
     /// Whether the model is a plain service.
     pub is_plain: bool,
 }
 
-/// What happened, as an agent hears it.
+/// An input to the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed. About every 50 ms.
+    /// Time has passed; sent about every 50 ms.
     Tick,
-    /// A connection to an entry host is up.
+    /// A connection to an entry host was established.
     EntryUp(Identity),
-    /// It is down.
+    /// The connection to an entry host was lost.
     EntryDown(Name),
-    /// An entry host said something.
+    /// A message from an entry host.
     FromEntry(Name, Body),
-    /// Settings were read from a message.
+    /// A settings message was received and parsed.
     Settings {
-        /// Their revision.
+        /// The revision of the settings.
         revision: u64,
-        /// Their text, to pass on.
+        /// Their text, to be passed on to others.
         text: Name,
-        /// Their meaning.
+        /// The parsed settings.
         tree: Box<Tree>,
     },
-    /// The connection that this agent dialled to a peer is up.
+    /// A connection that this agent dialled to a peer was established.
     PeerUp(Name),
-    /// It is down.
+    /// A connection that this agent dialled to a peer was lost.
     PeerDown(Name),
-    /// The connection that a peer dialled to this agent is down.
+    /// A connection that a peer dialled to this agent was lost.
     PeerLeft(Name),
-    /// A peer said something.
+    /// A message from a peer.
     FromPeer(Name, Body),
-    /// A chunk came, whole or not.
+    /// A chunk arrived, or fetching it failed.
     ChunkArrived {
-        /// The version it was asked for.
+        /// The manifest digest of the version it was requested for.
         manifest: Digest,
         /// The chunk.
         index: usize,
-        /// Who sent it.
+        /// The source it was requested from.
         source: Source,
-        /// The digest of its bytes; none if it did not come.
+        /// The digest of its bytes; `None` if fetching failed.
         digest: Option<Digest>,
     },
-    /// A chunk has left for a peer.
+    /// A chunk was sent to a peer.
     ChunkSent {
         /// The peer.
         peer: Name,
@@ -164,57 +170,57 @@
         /// The chunk.
         index: usize,
     },
-    /// A manifest came from a tracker or a peer.
+    /// A manifest was received from a tracker or a peer.
     ManifestArrived(Manifest),
-    /// The target took a chunk, or failed to.
+    /// The target answered an [`Effect::Stage`].
     Staged {
-        /// The version, which has a slot of its own.
+        /// The version, which has its own slot at the target.
         manifest: Digest,
         /// The chunk.
         index: usize,
-        /// The round of the order.
+        /// The round given in the effect.
         round: u64,
-        /// Whether it was taken.
+        /// Whether the target stored the chunk.
         stored: bool,
     },
-    /// The target answered an order to serve a version.
+    /// The target answered an [`Effect::Activate`].
     Activated {
         /// The model.
         model: Name,
         /// The version.
         manifest: Digest,
-        /// Whether it obeyed.
+        /// Whether the target now serves the version.
         activated: bool,
     },
-    /// What the target says that it serves.
+    /// The models and versions that the target reports to serve.
     TargetServes(Vec<(Name, Digest)>),
-    /// A piece of an answer.
+    /// A piece of the answer of a run.
     RunPiece(Name, Vec<u8>),
     /// A run ended.
     RunEnded(Name, Code),
-    /// The process is told to leave.
+    /// The process was asked to shut down.
     Leave,
 }
 
-/// What an agent wants done.
+/// An action for the process to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Say something to an entry host.
+    /// Send a message to an entry host.
     ToEntry(Name, Body),
-    /// Keep a connection to an entry host.
+    /// Establish a connection to an entry host and maintain it.
     DialEntry(PeerAddress),
-    /// Keep a connection to a peer.
+    /// Establish a connection to a peer and maintain it.
     Dial {
         /// The peer.
         name: Name,
-        /// Where it listens.
+        /// The address at which it listens.
         address: String,
     },
-    /// Drop the connection that this agent dialled.
+    /// Close the connection that this agent dialled to a peer.
     Disconnect(Name),
-    /// Say something over the connection that this agent dialled.
+    /// Send a message over the connection that this agent dialled to a peer.
     ToPeer(Name, Body),
-    /// Say something over the connection that the peer dialled.
+    /// Send a message over the connection that the peer dialled.
     ReplyToPeer(Name, Body),
     /// Send a chunk over the connection that the peer dialled.
     SendChunk {
@@ -231,18 +237,19 @@
     FetchOrigin {
         /// The version.
         manifest: Digest,
-        /// Where the origin keeps it.
+        /// The path of the version at the origin.
         origin_path: String,
         /// The chunk.
         index: usize,
     },
-    /// Keep the chunk with this digest; it is checked.
+    /// Keep the received chunk with this digest, which was verified.
     KeepChunk(Digest),
-    /// Throw away the bytes that arrived with this digest.
+    /// Discard the received bytes with this digest.
     Discard(Digest),
-    /// No version needs the kept chunk with this digest any more.
+    /// Delete the kept chunk with this digest, which no version needs any
+    /// more.
     DropChunk(Digest),
-    /// Put a chunk into the target's slot for a version.
+    /// Store a chunk in the target's slot for a version.
     Stage {
         /// The version.
         manifest: Digest,
@@ -250,8 +257,9 @@
         index: usize,
         /// Its bytes, by digest.
         digest: Digest,
-        /// Comes back in [`Event::Staged`]. A slot is filled in one round;
-        /// an answer of an earlier one says nothing about it.
+        /// Identifies one filling of the slot and is returned in
+        /// [`Event::Staged`]. An answer from an earlier round says nothing
+        /// about the current contents of the slot.
         round: u64,
     },
     /// Order the target to serve a version.
@@ -260,22 +268,22 @@
         model: Name,
         /// The version.
         manifest: Digest,
-        /// The fence.
+        /// The fencing token.
         fence: Fence,
     },
-    /// Ask the target what it serves.
+    /// Query which models and versions the target serves.
     CheckTarget,
     /// Start a run.
     StartRun(RunOrder),
     /// Stop a run.
     StopRun(Name),
-    /// Nothing is in progress and the agent was told to leave.
+    /// Stop the process: the agent is leaving and nothing is in progress.
     Stop,
     /// Write a log line.
     Log(LogEvent, String),
 }
 
-/// The agent's state.
+/// The state of an agent.
 #[derive(Debug)]
 pub struct Agent {
     config: AgentConfig,
@@ -295,10 +303,10 @@
     leaving: bool,
     reported_ms: u64,
     checked_ms: u64,
-    /// Orders to serve and their answers so far.
+    /// The number of activation orders given and answers to them received.
     order_events: u64,
-    /// The same when the target was last asked what it serves, until it
-    /// answers.
+    /// The value of `order_events` when the target was last queried; `None`
+    /// once it has answered.
     order_events_at_check: Option<u64>,
     last_round: u64,
 }
@@ -309,7 +317,7 @@
 }
 
 impl Agent {
-    /// An agent that has heard of nothing.
+    /// Creates an agent that has received neither settings nor messages.
     pub fn new(config: AgentConfig, now_ms: u64) -> Agent {
         Agent {
             rng: SmallRng::seed_from_u64(config.seed),
@@ -338,7 +346,7 @@
         }
     }
 
-    /// Takes an event in and pushes what is to be done.
+    /// Handles an event and appends the resulting effects to `effects`.
     pub fn reduce(
         &mut self,
         now_ms: u64,
@@ -395,32 +403,32 @@
         }
     }
 
-    /// The settings' revision in force.
+    /// Returns the settings revision in force; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.revision.in_force()
     }
 
-    /// The settings' text in force.
+    /// Returns the text of the settings in force; empty if there are none.
     pub fn settings_text(&self) -> &Name {
         &self.settings_text
     }
 
-    /// The versions on their way or here.
+    /// Returns the versions that are being downloaded or are complete.
     pub fn downloads(&self) -> impl Iterator<Item = &Download> {
         self.downloads.values()
     }
 
-    /// The ledger of run keys.
+    /// Returns the ledger of run keys.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Chunks on their way out.
+    /// Returns the number of chunk uploads in progress.
     pub fn uploads_active(&self) -> usize {
         self.uploads.active()
     }
 
-    /// Whether the agent takes no new work.
+    /// Returns whether the agent is leaving and accepts no new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
@@ -492,8 +500,9 @@
         }
     }
 
-    /// Keeps connections to a bounded number of entry hosts, each agent to
-    /// others, so that no entry host holds all agents of a large fleet.
+    /// Connects to a bounded number of the entry hosts, chosen by rendezvous
+    /// hashing per agent, so that in a large fleet no entry host has
+    /// connections from all agents.
     fn on_entries(&mut self, entries: Entries, effects: &mut Vec<Effect>) {
         let known: BTreeMap<Name, PeerAddress> = entries
             .entries
@@ -553,9 +562,10 @@
         self.follow_settings(now_ms, effects);
     }
 
-    /// Whether the agent may act on the settings that it has: it has heard
-    /// every entry host it knows of, or has listened long enough. An agent
-    /// that restarts must not obey a stale relay's older revision first.
+    /// Returns whether the agent may act on the settings that it has: it has
+    /// received revisions from as many entry hosts as are configured, or has
+    /// waited for [`LISTEN_MS`]. After a restart it must not act on an older
+    /// revision from a stale relay first.
     fn may_act(&self, now_ms: u64) -> bool {
         let heard =
             self.entries.values().filter(|link| link.revision > 0).count();
