--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -1,4 +1,4 @@
-//! The agent and its peers: who holds what, asking, serving.
+//! The exchange of chunks and manifests between an agent and its peers.
 
 use super::{Agent, Effect, Scheme, log_unexpected};
 use crate::{
@@ -38,7 +38,8 @@
         self.request_chunks(digest, now_ms, effects);
     }
 
-    /// Neighbours whose connections are up from an earlier spread.
+    /// Returns the neighbours that are connected because of another spread
+    /// and have not been contacted in this one.
     pub(super) fn connected_new_neighbours(
         &self,
         digest: Digest,
@@ -69,9 +70,9 @@
         }
     }
 
-    /// Begins to exchange chunks with a neighbour whose connection is up,
-    /// and which may not have heard of this spread yet: each side tells all
-    /// it holds and asks for the same.
+    /// Starts the exchange of chunks with a connected neighbour, which may
+    /// not know of this spread yet: sends the indices of all chunks held here
+    /// and asks the neighbour for its own.
     pub(super) fn start_exchange(
         &mut self,
         digest: Digest,
@@ -273,8 +274,8 @@
         self.request_chunks(manifest, now_ms, effects);
     }
 
-    /// The next try waits for a tick, so that a dead origin is not asked in
-    /// a tight loop.
+    /// Handles a failed fetch. The next attempt waits for a tick, so that an
+    /// unreachable origin is not queried in a tight loop.
     pub(super) fn on_fetch_failed(
         &mut self,
         manifest: Digest,
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Asks for chunks until the window is full.
+    /// Requests chunks until the window is full.
     pub(super) fn request_chunks(
         &mut self,
         digest: Digest,
