--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -1,4 +1,4 @@
-//! The agent's gate in front of its target: who runs, and who hears of it.
+//! Admission of runs at the target, and delivery of their answers.
 
 use super::{Agent, Effect, RunOrder};
 use crate::{
@@ -29,8 +29,8 @@
         let candidate = Candidate {
             key: key.clone(),
             expires_ms: run_key.expires_ms,
-            // Whoever holds a key means to ask again under it, so its answer is
-            // kept whether the request may be repeated or not.
+            // A caller that holds a key may retry under it, so the answer is
+            // kept whether the request is repeatable or not.
             repeatable: dispatch.repeatable && !dispatch.key_is_held,
             listener: listener.clone(),
         };
@@ -51,8 +51,9 @@
         }
     }
 
-    /// A key of another incarnation is never run: the ledger that knew
-    /// whether it had run is gone.
+    /// Parses the text of a key and checks that it belongs to this
+    /// incarnation. A key of another incarnation is never run, because the
+    /// ledger that recorded whether it had run is gone.
     fn own_key(&self, text: &str) -> Result<RunKey, Code> {
         let key = RunKey::parse_unchecked(text).ok_or(Code::RunKeyInvalid)?;
         let is_own = key.agent == self.config.name
@@ -60,9 +61,10 @@
         if is_own { Ok(key) } else { Err(Code::Unknown) }
     }
 
-    /// A held key was pinned here before anybody knew how busy the target
-    /// would be, and can go nowhere else: it may wait in the target's own
-    /// queue, which holds as many again as run at once.
+    /// Returns why a new key cannot be accepted for `model`, if so. A key
+    /// that the caller holds was pinned to this agent before the load of the
+    /// target was known, and cannot run elsewhere. It may therefore wait in
+    /// the target's own queue, which holds as many runs as run at once.
     fn gate(&self, model: &str, key_is_held: bool) -> Result<(), Code> {
         if self.leaving {
             return Err(Code::TargetLeaving);
@@ -180,8 +182,9 @@
         effects.push(Effect::ToEntry(entry, Body::Known(known)));
     }
 
-    /// "Not run" is only true of a key that is barred from now on. A key that
-    /// was merely asked about may still arrive.
+    /// Replaces [`Code::Revoked`], which means "not run", by
+    /// [`Code::Unknown`] unless the ledger has recorded the key as revoked. A
+    /// key that was only queried may still arrive and run.
     fn confirmed_code(&self, code: Code, key: &Name) -> Code {
         match code {
             Code::Revoked if !self.ledger.contains(key) => Code::Unknown,
