--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -1,4 +1,5 @@
-//! The agent's part in a spread: which versions it wants, and its tracker.
+//! The versions that an agent downloads, and its communication with the
+//! trackers.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +15,7 @@
 };
 
 impl Agent {
-    /// Brings the downloads in line with the settings in force.
+    /// Starts, pauses and drops downloads as the settings in force demand.
     pub(super) fn follow_settings(
         &mut self,
         now_ms: u64,
@@ -70,8 +71,9 @@
         effects.push(Effect::Log(LogEvent::SpreadJoined, digest.to_hex()));
     }
 
-    /// A version that was replaced midway stays until its successor has its
-    /// manifest, so that chunks with the same bytes are carried over.
+    /// Drops the downloads that are no longer needed. A version that was
+    /// replaced during its download is kept until the manifest of its
+    /// successor arrives, so that identical chunks are reused.
     pub(super) fn drop_unneeded(&mut self, effects: &mut Vec<Effect>) {
         let is_awaiting_manifest =
             self.downloads.iter().any(|(digest, download)| {
@@ -118,7 +120,8 @@
         effects.push(Effect::Log(LogEvent::SpreadDropped, digest.to_hex()));
     }
 
-    /// Joins, at each spread's owner, the spreads that have moved or are new.
+    /// Joins each spread at the entry host that owns its tracker, if the
+    /// spread is new, the owner changed, or a repeated join is due.
     pub(super) fn choose_trackers(
         &mut self,
         now_ms: u64,
