--- a/crates/raildale-core/src/agent/target.rs
+++ b/crates/raildale-core/src/agent/target.rs
@@ -1,4 +1,5 @@
-//! The agent and its target: staging, orders, what it serves.
+//! Staging of chunks at the target, activation orders, and the comparison of
+//! what the target serves with them.
 
 use super::{Agent, Effect, Fence};
 use crate::{
@@ -7,7 +8,7 @@
     spread::download::Download,
 };
 
-/// What the target is to serve for one model, and what it serves.
+/// The wanted and the served version of one model.
 #[derive(Debug, Default)]
 pub(super) struct ModelState {
     wanted: Option<Digest>,
@@ -17,9 +18,10 @@
 }
 
 impl ModelState {
-    /// What an earlier incarnation of the agent made the target serve. It
-    /// was whole when that agent gave the order, so a restart of the agent
-    /// takes nothing out of service and fetches nothing again.
+    /// Creates the state with the version that an earlier incarnation of the
+    /// agent activated, if any. That version was complete when it was
+    /// activated, so a restart of the agent takes nothing out of service and
+    /// fetches nothing again.
     pub(super) fn adopt<'a>(
         model: &Name,
         mut serves: impl Iterator<Item = &'a (Name, Digest)>,
@@ -29,7 +31,7 @@
         ModelState { active, ..ModelState::default() }
     }
 
-    /// The version to serve; none for a plain service.
+    /// Sets the version to serve; `None` for a plain service.
     pub(super) fn set_wanted(&mut self, manifest: Option<Digest>) {
         self.wanted = manifest;
         self.is_plain = manifest.is_none();
@@ -75,9 +77,9 @@
         self.activate_staged(effects);
     }
 
-    /// Orders the target to serve each wanted version that is whole in its
-    /// slot. One order a model is in flight at a time: a target that does not
-    /// check fences would otherwise obey two in any order.
+    /// Orders the target to serve each wanted version whose chunks are all
+    /// staged. At most one order per model is in flight: a target that does
+    /// not check fences could otherwise carry out two in either order.
     pub(super) fn activate_staged(&mut self, effects: &mut Vec<Effect>) {
         let fence = Fence {
             revision: self.revision.in_force(),
@@ -125,16 +127,17 @@
         self.drop_unneeded(effects);
     }
 
-    /// Compares what the target serves with what was ordered. A target that
-    /// restarted, or that obeyed an order of an earlier incarnation of this
-    /// agent, is brought back in line.
+    /// Compares what the target serves with what was ordered. If they differ,
+    /// because the target restarted or carried out an order of an earlier
+    /// incarnation of this agent, the wanted version is staged again.
     pub(super) fn on_target_serves(
         &mut self,
         serves: Vec<(Name, Digest)>,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        // An answer that an order overtook may be from before it.
+        // If an order was given or answered since the query, the answer may
+        // predate it.
         if self.order_events_at_check.take() != Some(self.order_events) {
             return;
         }
@@ -194,8 +197,8 @@
     }
 }
 
-/// The invariant *whole-before-serve*: each chunk of the manifest has checked
-/// and stands in the slot that belongs to this manifest alone.
+/// Asserts the invariant *whole-before-serve*: every chunk of the manifest was
+/// verified and is staged in the slot of this manifest alone.
 fn assert_whole(download: &Download) {
     let manifest = download.manifest().expect("a staged version has one");
     assert_eq!(
