--- a/crates/raildale-core/src/entry/trackers.rs
+++ b/crates/raildale-core/src/entry/trackers.rs
@@ -5,7 +5,7 @@
     Digest, LogEvent, Manifest, Name,
     message::{Body, Grant, Join, ManifestBody, Obtained, Part, View},
     settings::tree::Favour,
-    spread::tracker::{Told, Tracker},
+    spread::tracker::{Tracker, TrackerMessage},
 };
 
 /// How long to wait before the origin is asked for a manifest again.
@@ -183,10 +183,10 @@
         for telling in spread.tracker.plan(now_ms) {
             let manifest = digest.to_vec();
             let body = match telling.told {
-                Told::Grant(chunk) => {
+                TrackerMessage::Grant(chunk) => {
                     Body::Grant(Grant { manifest, chunks: vec![chunk] })
                 }
-                Told::View(neighbours) => {
+                TrackerMessage::View(neighbours) => {
                     Body::View(View { manifest, neighbours })
                 }
             };
--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -51,7 +51,7 @@
 
 /// What a tracker tells one agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum TrackerMessage {
     /// Bring this chunk in.
     Grant(GrantedChunk),
     /// Exchange chunks with these.
@@ -64,7 +64,7 @@
     /// The agent.
     pub member: Name,
     /// What it is told.
-    pub told: Told,
+    pub told: TrackerMessage,
 }
 
 /// The soft state of one spread.
@@ -413,7 +413,7 @@
             holder.uploads += 1;
         }
         let chunk = GrantedChunk { index: index as u32, source: peer };
-        tellings.push(Telling { member, told: Told::Grant(chunk) });
+        tellings.push(Telling { member, told: TrackerMessage::Grant(chunk) });
     }
 
     /// Where chunks from the origin land: in its own data centre, if any
@@ -449,7 +449,7 @@
                     .collect();
                 tellings.push(Telling {
                     member: name.clone(),
-                    told: Told::View(view),
+                    told: TrackerMessage::View(view),
                 });
             }
         }
--- a/crates/raildale-core/tests/counted_work.rs
+++ b/crates/raildale-core/tests/counted_work.rs
@@ -5,7 +5,7 @@
 use raildale_core::{
     Name,
     settings::tree::Favour,
-    spread::tracker::{Told, Tracker, TrackerConfig},
+    spread::tracker::{Tracker, TrackerConfig, TrackerMessage},
 };
 use yare::parameterized;
 
@@ -37,11 +37,11 @@
         now_ms += 1;
         for telling in tracker.plan(now_ms) {
             match telling.told {
-                Told::Grant(chunk) => {
+                TrackerMessage::Grant(chunk) => {
                     grants += 1;
                     under_way.push_back((telling.member, chunk.index));
                 }
-                Told::View(_) => views += 1,
+                TrackerMessage::View(_) => views += 1,
             }
         }
         let Some((member, index)) = under_way.pop_front() else {
@@ -93,7 +93,7 @@
     let mut under_way: VecDeque<(Name, u32)> = VecDeque::new();
     for now_ms in 1.. {
         for telling in tracker.plan(now_ms) {
-            if let Told::Grant(chunk) = telling.told {
+            if let TrackerMessage::Grant(chunk) = telling.told {
                 from_origin += usize::from(chunk.source.is_none());
                 under_way.push_back((telling.member, chunk.index));
             }
