--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -60,7 +60,7 @@
 
 /// Who is told what.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Telling {
+pub struct MemberMessage {
     /// The agent.
     pub member: Name,
     /// What it is told.
@@ -209,7 +209,7 @@
     }
 
     /// Grants and views that are due.
-    pub fn plan(&mut self, now_ms: u64) -> Vec<Telling> {
+    pub fn plan(&mut self, now_ms: u64) -> Vec<MemberMessage> {
         let mut tellings = vec![];
         let gathered = now_ms >= self.since_ms + self.config.gather_ms;
         if self.chunks.is_none() || !gathered {
@@ -326,7 +326,11 @@
         }
     }
 
-    fn grant_origin(&mut self, now_ms: u64, tellings: &mut Vec<Telling>) {
+    fn grant_origin(
+        &mut self,
+        now_ms: u64,
+        tellings: &mut Vec<MemberMessage>,
+    ) {
         while self.origin_grants < self.config.origin_slots {
             self.work += 1;
             let Some(index) = self.unasked.first().copied() else { return };
@@ -336,7 +340,11 @@
         }
     }
 
-    fn grant_crossings(&mut self, now_ms: u64, tellings: &mut Vec<Telling>) {
+    fn grant_crossings(
+        &mut self,
+        now_ms: u64,
+        tellings: &mut Vec<MemberMessage>,
+    ) {
         let sites: Vec<Name> = self.sites.keys().cloned().collect();
         for data_centre in sites {
             for (index, source) in self.crossings_into(&data_centre) {
@@ -392,7 +400,7 @@
         index: usize,
         source: Option<Name>,
         now_ms: u64,
-        tellings: &mut Vec<Telling>,
+        tellings: &mut Vec<MemberMessage>,
     ) {
         self.work += 1;
         let Some(site) = self.sites.get_mut(data_centre) else { return };
@@ -413,7 +421,10 @@
             holder.uploads += 1;
         }
         let chunk = GrantedChunk { index: index as u32, source: peer };
-        tellings.push(Telling { member, told: TrackerMessage::Grant(chunk) });
+        tellings.push(MemberMessage {
+            member,
+            told: TrackerMessage::Grant(chunk),
+        });
     }
 
     /// Where chunks from the origin land: in its own data centre, if any
@@ -434,7 +445,7 @@
         Some(PeerAddress { name: name.to_string(), address })
     }
 
-    fn tell_views(&mut self, tellings: &mut Vec<Telling>) {
+    fn tell_views(&mut self, tellings: &mut Vec<MemberMessage>) {
         let sites: Vec<Name> = self.sites.keys().cloned().collect();
         for data_centre in sites {
             let here: Vec<Name> =
@@ -447,7 +458,7 @@
                     .into_iter()
                     .filter_map(|name| self.address(name))
                     .collect();
-                tellings.push(Telling {
+                tellings.push(MemberMessage {
                     member: name.clone(),
                     told: TrackerMessage::View(view),
                 });
