--- a/crates/raildale-core/src/entry/trackers.rs
+++ b/crates/raildale-core/src/entry/trackers.rs
@@ -131,7 +131,7 @@
         };
         if let Some(spread) = self.spreads.get_mut(&digest) {
             let Obtained { held, failed, .. } = obtained;
-            spread.tracker.obtained(agent, &held, &failed);
+            spread.tracker.record_obtained(agent, &held, &failed);
             self.plan(digest, now_ms, effects);
         }
     }
--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -196,7 +196,12 @@
     }
 
     /// An agent holds granted chunks now, or could not get them.
-    pub fn obtained(&mut self, name: &Name, held: &[u32], failed: &[u32]) {
+    pub fn record_obtained(
+        &mut self,
+        name: &Name,
+        held: &[u32],
+        failed: &[u32],
+    ) {
         let Some(chunks) = self.chunks else { return };
         for index in held.iter().map(|index| *index as usize) {
             if index < chunks {
--- a/crates/raildale-core/tests/counted_work.rs
+++ b/crates/raildale-core/tests/counted_work.rs
@@ -47,7 +47,7 @@
         let Some((member, index)) = under_way.pop_front() else {
             return (grants, views);
         };
-        tracker.obtained(&member, &[index], &[]);
+        tracker.record_obtained(&member, &[index], &[]);
     }
 }
 
@@ -99,7 +99,7 @@
             }
         }
         let Some((member, index)) = under_way.pop_front() else { break };
-        tracker.obtained(&member, &[index], &[]);
+        tracker.record_obtained(&member, &[index], &[]);
     }
     assert!((least..=most).contains(&from_origin), "{from_origin}");
 }
