--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -130,7 +130,7 @@
     }
 
     /// Steps of planning so far; what CI bounds in place of time.
-    pub fn work(&self) -> u64 {
+    pub fn planning_steps(&self) -> u64 {
         self.work
     }
 
--- a/crates/raildale-core/tests/counted_work.rs
+++ b/crates/raildale-core/tests/counted_work.rs
@@ -67,12 +67,12 @@
     // The time is for the reader; CI bounds the counted work.
     println!(
         "{hosts} hosts, {chunks} chunks: {grants} grants, {} steps, {:?}",
-        tracker.work(),
+        tracker.planning_steps(),
         start.elapsed()
     );
     assert_eq!(grants, chunks * data_centres, "each chunk enters each once");
     assert_eq!(views, hosts, "each agent hears of its neighbours once");
-    let steps_per_grant = tracker.work() / grants as u64;
+    let steps_per_grant = tracker.planning_steps() / grants as u64;
     assert!(steps_per_grant <= 100, "{steps_per_grant} steps a grant");
 }
 
