--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -8,7 +8,7 @@
         View,
     },
     spread::{
-        download::{Arrival, Download, Source, Want},
+        download::{Arrival, Download, DownloadAction, Source},
         upload::{Admitted, Upload},
     },
 };
@@ -326,7 +326,8 @@
         let Some(download) = self.downloads.get_mut(&digest) else { return };
         let held = download.verified().len() as u32;
         for want in download.fill(&mut self.rng, now_ms) {
-            let Want::Fetch { source, address, index, granted } = want;
+            let DownloadAction::Fetch { source, address, index, granted } =
+                want;
             match source {
                 Source::Origin => effects.push(Effect::FetchOrigin {
                     manifest: digest,
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -69,7 +69,7 @@
 
 /// What a download wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum DownloadAction {
     /// Ask `source` for a chunk; the address is set for a granted peer.
     Fetch {
         /// Whom to ask.
@@ -432,7 +432,11 @@
 
     /// Fills the window: grants first, then the rarest chunk that some free
     /// neighbour holds.
-    pub fn fill(&mut self, rng: &mut SmallRng, now_ms: u64) -> Vec<Want> {
+    pub fn fill(
+        &mut self,
+        rng: &mut SmallRng,
+        now_ms: u64,
+    ) -> Vec<DownloadAction> {
         let mut wants = vec![];
         if self.manifest.is_none() || self.paused || self.is_whole() {
             return wants;
@@ -491,7 +495,7 @@
             .collect()
     }
 
-    fn next_grant(&mut self, now_ms: u64) -> Option<Want> {
+    fn next_grant(&mut self, now_ms: u64) -> Option<DownloadAction> {
         loop {
             let chunk = self.grants.pop_front()?;
             let index = chunk.index as usize;
@@ -510,7 +514,7 @@
                 ),
             };
             self.ask(index, source.clone(), true, now_ms);
-            return Some(Want::Fetch {
+            return Some(DownloadAction::Fetch {
                 source,
                 address,
                 index,
@@ -523,7 +527,7 @@
         &mut self,
         rng: &mut SmallRng,
         now_ms: u64,
-    ) -> Option<Want> {
+    ) -> Option<DownloadAction> {
         let free = self.free_neighbours(now_ms);
         let mut best: Option<(u16, u32, usize)> = None;
         for index in self.missing() {
@@ -552,7 +556,12 @@
         let peer = idle[rng.random_range(0..idle.len())].clone();
         let source = Source::Peer(peer);
         self.ask(index, source.clone(), false, now_ms);
-        Some(Want::Fetch { source, address: None, index, granted: false })
+        Some(DownloadAction::Fetch {
+            source,
+            address: None,
+            index,
+            granted: false,
+        })
     }
 
     fn free_neighbours(&self, now_ms: u64) -> Vec<Name> {
