--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -9,7 +9,7 @@
     },
     spread::{
         download::{Arrival, Download, DownloadAction, Source},
-        upload::{Admitted, Upload},
+        upload::{Upload, UploadAdmission},
     },
 };
 
@@ -195,9 +195,9 @@
         };
         let admitted = holds.then(|| self.uploads.admit(upload.clone()));
         match admitted {
-            Some(Admitted::Now) => self.send_uploads([upload], effects),
-            Some(Admitted::Waiting) => {}
-            Some(Admitted::Busy) | None => {
+            Some(UploadAdmission::Now) => self.send_uploads([upload], effects),
+            Some(UploadAdmission::Waiting) => {}
+            Some(UploadAdmission::Busy) | None => {
                 let refused = ChunkRefused {
                     manifest: ask.manifest,
                     index: ask.index,
--- a/crates/raildale-core/src/spread/upload.rs
+++ b/crates/raildale-core/src/spread/upload.rs
@@ -24,7 +24,7 @@
 
 /// What becomes of a peer's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted {
+pub enum UploadAdmission {
     /// Send the chunk now.
     Now,
     /// It waits for a slot.
@@ -49,15 +49,15 @@
     }
 
     /// Takes a request in.
-    pub fn admit(&mut self, upload: Upload) -> Admitted {
+    pub fn admit(&mut self, upload: Upload) -> UploadAdmission {
         if self.active.len() < self.slots {
             self.start(upload);
-            Admitted::Now
+            UploadAdmission::Now
         } else if self.waiting.len() < self.places || upload.granted {
             self.waiting.push(upload);
-            Admitted::Waiting
+            UploadAdmission::Waiting
         } else {
-            Admitted::Busy
+            UploadAdmission::Busy
         }
     }
 
