--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -139,7 +139,7 @@
             let owner = owner.clone();
             let is_same = self.trackers.get(&digest) == Some(&owner);
             let download = self.downloads.get_mut(&digest).expect("listed");
-            if is_same && !download.must_join_again(now_ms) {
+            if is_same && !download.is_join_due(now_ms) {
                 continue;
             }
             download.set_joined(now_ms);
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -204,7 +204,7 @@
     /// Whether the tracker is to hear again what is held: soon while nothing
     /// moves, seldom otherwise. A tracker's state is soft, and a join or a
     /// view may be lost with a connection or a process.
-    pub fn must_join_again(&self, now_ms: u64) -> bool {
+    pub fn is_join_due(&self, now_ms: u64) -> bool {
         let is_slow = !self.is_whole() && now_ms >= self.progress_ms + 1_000;
         let every_ms = if is_slow { 2_000 } else { 10_000 };
         now_ms >= self.joined_ms + every_ms
