--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -142,7 +142,7 @@
             if is_same && !download.is_join_due(now_ms) {
                 continue;
             }
-            download.set_joined(now_ms);
+            download.record_join(now_ms);
             let before = self.trackers.insert(digest, owner.clone());
             if let Some(before) = before.filter(|_| !is_same) {
                 let part = Body::Part(Part { manifest: digest.to_vec() });
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -211,7 +211,7 @@
     }
 
     /// The tracker is told what is held.
-    pub fn set_joined(&mut self, now_ms: u64) {
+    pub fn record_join(&mut self, now_ms: u64) {
         self.joined_ms = now_ms;
     }
 
