--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -402,7 +402,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let download = self.downloads.get_mut(&digest).expect("listed");
-        let indices = download.take_fresh(now_ms);
+        let indices = download.take_unannounced(now_ms);
         if indices.is_empty() {
             return;
         }
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -401,7 +401,7 @@
 
     /// Takes the chunks verified since the last call, if it is time to
     /// announce them.
-    pub fn take_fresh(&mut self, now_ms: u64) -> Vec<u32> {
+    pub fn take_unannounced(&mut self, now_ms: u64) -> Vec<u32> {
         if now_ms < self.announced_ms + self.config.announce_every_ms {
             return vec![];
         }
