--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -284,7 +284,9 @@
         effects: &mut Vec<Effect>,
     ) {
         let download = self.downloads.get_mut(&digest).expect("listed");
-        for index in download.fallback(&mut self.rng, now_ms) {
+        for index in
+            download.fetch_from_origin_if_stalled(&mut self.rng, now_ms)
+        {
             let detail = format!("chunk {index}");
             effects.push(Effect::Log(LogEvent::OriginDirect, detail));
             effects.push(Effect::FetchOrigin {
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -454,7 +454,11 @@
     /// Chunks to take from the origin without a grant, when peers and the
     /// tracker have moved nothing for long. Their arrival does not count as
     /// a move, so that a host on its own goes on at its window's pace.
-    pub fn fallback(&mut self, rng: &mut SmallRng, now_ms: u64) -> Vec<usize> {
+    pub fn fetch_from_origin_if_stalled(
+        &mut self,
+        rng: &mut SmallRng,
+        now_ms: u64,
+    ) -> Vec<usize> {
         let is_stuck = !self.paused
             && !self.is_whole()
             && now_ms >= self.progress_ms + self.config.origin_fallback_ms;
