--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -268,7 +268,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let download = self.downloads.get_mut(&digest).expect("listed");
-        for index in download.fill_from_origin(now_ms) {
+        for index in download.fill_window_from_origin(now_ms) {
             effects.push(Effect::FetchOrigin {
                 manifest: digest,
                 origin_path: download.origin_path().to_string(),
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -476,7 +476,7 @@
     }
 
     /// Fills the window from the origin alone: the baseline.
-    pub fn fill_from_origin(&mut self, now_ms: u64) -> Vec<usize> {
+    pub fn fill_window_from_origin(&mut self, now_ms: u64) -> Vec<usize> {
         if self.paused {
             return vec![];
         }
