--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -325,7 +325,7 @@
         }
         let Some(download) = self.downloads.get_mut(&digest) else { return };
         let held = download.verified().len() as u32;
-        for want in download.fill(&mut self.rng, now_ms) {
+        for want in download.fill_window(&mut self.rng, now_ms) {
             let DownloadAction::Fetch { source, address, index, granted } =
                 want;
             match source {
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -432,7 +432,7 @@
 
     /// Fills the window: grants first, then the rarest chunk that some free
     /// neighbour holds.
-    pub fn fill(
+    pub fn fill_window(
         &mut self,
         rng: &mut SmallRng,
         now_ms: u64,
