--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -177,7 +177,7 @@
         let mut kept = vec![];
         for (index, chunk) in chunks.into_iter().enumerate() {
             if available.contains(&chunk) {
-                download.keep(index, chunk);
+                download.add_existing(index, chunk);
                 kept.push(index);
                 effects.push(Effect::Stage {
                     manifest: digest,
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -238,7 +238,7 @@
     }
 
     /// A chunk is here already from another version with the same bytes.
-    pub fn keep(&mut self, index: usize, digest: Digest) {
+    pub fn add_existing(&mut self, index: usize, digest: Digest) {
         if self.expects(index, digest) && self.verified.insert(index) {
             self.fresh.push(index as u32);
         }
