--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -246,7 +246,7 @@
             self.on_fetch_failed(manifest, index, source, effects);
             return;
         };
-        match download.arrived(source, index, digest, now_ms) {
+        match download.on_chunk(source, index, digest, now_ms) {
             Arrival::Verified { granted } => {
                 effects.push(Effect::KeepChunk(digest));
                 let round = download.round();
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -366,7 +366,7 @@
     }
 
     /// A chunk arrived, with the digest that its bytes have.
-    pub fn arrived(
+    pub fn on_chunk(
         &mut self,
         source: &Source,
         index: usize,
