--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -297,7 +297,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let download = self.downloads.get_mut(&manifest);
-        if download.is_some_and(|download| download.failed(index)) {
+        if download.is_some_and(|download| download.on_fetch_failed(index)) {
             self.report_obtained(manifest, vec![], vec![index], effects);
         }
     }
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -392,7 +392,7 @@
 
     /// A fetch failed or brought bad bytes; returns whether the chunk goes
     /// back to the tracker.
-    pub fn failed(&mut self, index: usize) -> bool {
+    pub fn on_fetch_failed(&mut self, index: usize) -> bool {
         let granted =
             self.pending.get(&index).is_some_and(|pending| pending.granted);
         self.forget_pending(index);
