--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -221,7 +221,7 @@
         };
         let Some(download) = self.downloads.get_mut(&digest) else { return };
         let index = refused.index as usize;
-        let give_back = download.refused(peer, index, refused.busy, now_ms);
+        let give_back = download.on_refused(peer, index, refused.busy, now_ms);
         if give_back {
             let failed = vec![index];
             self.report_obtained(digest, vec![], failed, effects);
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -341,7 +341,7 @@
 
     /// A peer will not send a chunk; returns whether it goes back to the
     /// tracker.
-    pub fn refused(
+    pub fn on_refused(
         &mut self,
         peer: &str,
         index: usize,
