--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -147,7 +147,7 @@
     ) {
         let Some(digest) = Digest::from_slice(&have.manifest) else { return };
         if let Some(download) = self.downloads.get_mut(&digest) {
-            download.peer_has(peer, &have.bitmap, &have.indices);
+            download.record_held_chunks(peer, &have.bitmap, &have.indices);
             if have.asks {
                 let body = Body::Have(full_have(download));
                 effects.push(Effect::ReplyToPeer(peer.clone(), body));
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -319,7 +319,12 @@
 
     /// A neighbour says what it holds. It may say so before the manifest is
     /// here; what it holds is kept and counted then.
-    pub fn peer_has(&mut self, peer: &str, bitmap: &[u8], indices: &[u32]) {
+    pub fn record_held_chunks(
+        &mut self,
+        peer: &str,
+        bitmap: &[u8],
+        indices: &[u32],
+    ) {
         let Some(neighbour) = self.neighbours.get_mut(peer) else { return };
         let len = self.manifest.as_ref().map_or(MAX_CHUNKS, Manifest::len);
         let more = ChunkSet::from_bitmap(bitmap, len);
