--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -251,7 +251,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let download = self.downloads.get_mut(&digest).expect("listed");
-        let expired = download.expire(now_ms);
+        let expired = download.expire_requests(now_ms);
         for (source, index, granted) in expired {
             let detail = format!("{source:?} chunk {index}");
             effects.push(Effect::Log(LogEvent::ChunkLate, detail));
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -416,7 +416,10 @@
 
     /// Drops requests that made no progress in time; returns whom they were
     /// asked of and whether the tracker has to hear.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<(Source, usize, bool)> {
+    pub fn expire_requests(
+        &mut self,
+        now_ms: u64,
+    ) -> Vec<(Source, usize, bool)> {
         let limit_ms = self.config.chunk_timeout_ms;
         let late: Vec<usize> = self
             .pending
