--- a/crates/raildale-core/src/agent/spread.rs
+++ b/crates/raildale-core/src/agent/spread.rs
@@ -200,7 +200,7 @@
     ) {
         let Some(digest) = Digest::from_slice(&grant.manifest) else { return };
         if let Some(download) = self.downloads.get_mut(&digest) {
-            download.grant(grant.chunks);
+            download.add_grants(grant.chunks);
             self.request_chunks(digest, now_ms, effects);
         }
     }
--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -340,7 +340,7 @@
     }
 
     /// The tracker lets this host bring chunks in.
-    pub fn grant(&mut self, chunks: Vec<GrantedChunk>) {
+    pub fn add_grants(&mut self, chunks: Vec<GrantedChunk>) {
         self.grants.extend(chunks);
     }
 
