--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -112,7 +112,7 @@
         name: &Name,
         effects: &mut Vec<Effect>,
     ) {
-        let next = self.uploads.peer_gone(name);
+        let next = self.uploads.remove_peer(name);
         self.send_uploads(next, effects);
     }
 
--- a/crates/raildale-core/src/spread/upload.rs
+++ b/crates/raildale-core/src/spread/upload.rs
@@ -79,7 +79,7 @@
     }
 
     /// A peer's connection went; returns what its slots are free for now.
-    pub fn peer_gone(&mut self, peer: &str) -> Vec<Upload> {
+    pub fn remove_peer(&mut self, peer: &str) -> Vec<Upload> {
         self.active.retain(|upload| &*upload.peer != peer);
         self.waiting.retain(|upload| &*upload.peer != peer);
         std::iter::from_fn(|| self.next()).collect()
