--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -378,7 +378,7 @@
                     manifest, index, &source, digest, now_ms, effects,
                 ),
             Event::ChunkSent { peer, manifest, index } => {
-                let next = self.uploads.sent(&peer, manifest, index);
+                let next = self.uploads.finish(&peer, manifest, index);
                 self.send_uploads(next, effects);
             }
             Event::ManifestArrived(manifest) => {
--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -382,7 +382,7 @@
             }),
             // The version was dropped while the request waited.
             None => {
-                let next = self.uploads.sent(&peer, manifest, index);
+                let next = self.uploads.finish(&peer, manifest, index);
                 let refused = ChunkRefused {
                     manifest: manifest.to_vec(),
                     index: index as u32,
--- a/crates/raildale-core/src/spread/upload.rs
+++ b/crates/raildale-core/src/spread/upload.rs
@@ -62,7 +62,7 @@
     }
 
     /// A chunk has left; returns the next to send.
-    pub fn sent(
+    pub fn finish(
         &mut self,
         peer: &str,
         manifest: Digest,
