--- a/crates/raildale-core/src/entry/trackers.rs
+++ b/crates/raildale-core/src/entry/trackers.rs
@@ -182,7 +182,7 @@
         let Some(spread) = self.spreads.get_mut(&digest) else { return };
         for telling in spread.tracker.plan(now_ms) {
             let manifest = digest.to_vec();
-            let body = match telling.told {
+            let body = match telling.message {
                 TrackerMessage::Grant(chunk) => {
                     Body::Grant(Grant { manifest, chunks: vec![chunk] })
                 }
--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -64,7 +64,7 @@
     /// The agent.
     pub member: Name,
     /// What it is told.
-    pub told: TrackerMessage,
+    pub message: TrackerMessage,
 }
 
 /// The soft state of one spread.
@@ -428,7 +428,7 @@
         let chunk = GrantedChunk { index: index as u32, source: peer };
         tellings.push(MemberMessage {
             member,
-            told: TrackerMessage::Grant(chunk),
+            message: TrackerMessage::Grant(chunk),
         });
     }
 
@@ -465,7 +465,7 @@
                     .collect();
                 tellings.push(MemberMessage {
                     member: name.clone(),
-                    told: TrackerMessage::View(view),
+                    message: TrackerMessage::View(view),
                 });
             }
         }
--- a/crates/raildale-core/tests/counted_work.rs
+++ b/crates/raildale-core/tests/counted_work.rs
@@ -36,7 +36,7 @@
     loop {
         now_ms += 1;
         for telling in tracker.plan(now_ms) {
-            match telling.told {
+            match telling.message {
                 TrackerMessage::Grant(chunk) => {
                     grants += 1;
                     under_way.push_back((telling.member, chunk.index));
@@ -93,7 +93,7 @@
     let mut under_way: VecDeque<(Name, u32)> = VecDeque::new();
     for now_ms in 1.. {
         for telling in tracker.plan(now_ms) {
-            if let TrackerMessage::Grant(chunk) = telling.told {
+            if let TrackerMessage::Grant(chunk) = telling.message {
                 from_origin += usize::from(chunk.source.is_none());
                 under_way.push_back((telling.member, chunk.index));
             }
