--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -1,11 +1,12 @@
-//! The tracker of one spread, soft state on the entry host that owns it.
+//! The tracker of one spread, which is soft state on the entry host that owns
+//! it.
 //!
-//! It grants: each chunk leaves the origin once, and enters each further data
-//! centre once. It does not plan transfers inside a data centre, because at
-//! 1,600 hosts and 4,000 chunks that would be 6.4 million decisions a burst
-//! on one process; grants are one a chunk and data centre. When the owner
-//! dies, another entry host rebuilds this state from the agents' [`Join`]s,
-//! which carry what each holds.
+//! It issues grants such that each chunk leaves the origin once and enters
+//! each further data centre once. It does not plan transfers inside a data
+//! centre, because at 1,600 hosts and 4,000 chunks that would be 6.4 million
+//! decisions per burst in one process; there is only one grant per chunk and
+//! data centre. When the owner dies, another entry host rebuilds this state
+//! from the agents' [`Join`]s, which carry the chunks that each holds.
 //!
 //! [`Join`]: crate::message::Join
 
@@ -19,24 +20,28 @@
     settings::tree::Favour,
 };
 
-/// Holders of a chunk that are remembered, to choose a source among. The
-/// rest of a data centre need not be known: inside it agents find each other.
-const KNOWN_HOLDERS: usize = 8;
+/// The maximum number of holders recorded per chunk, from which a source is
+/// chosen. The others need not be known, because agents inside a data centre
+/// exchange chunks without the tracker.
+const MAX_KNOWN_HOLDERS: usize = 8;
 
-/// Bounds of a tracker.
+/// The limits of a tracker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrackerConfig {
-    /// Chunks that leave the origin at once.
+    /// The maximum number of open grants for the origin.
     pub origin_slots: usize,
-    /// Chunks that enter a data centre at once.
+    /// The maximum number of open grants per data centre for chunks that
+    /// other data centres hold.
     pub crossing_slots: usize,
-    /// Neighbours of an agent at most.
+    /// The approximate maximum number of neighbours of an agent.
     pub max_neighbours: usize,
-    /// How long joins are gathered before the first grant.
+    /// How long joins are collected before the first grant.
     pub gather_ms: u64,
-    /// A grant that is not reported by then is given to another agent.
+    /// The time after which a grant that was not reported as fulfilled ends,
+    /// so that the chunk can be granted again.
     pub grant_timeout_ms: u64,
-    /// The origin's data centre, whose agents bring chunks in if any do.
+    /// The origin's data centre. Its agents fetch chunks from the origin if
+    /// there are any in the spread.
     pub origin_data_centre: Name,
 }
 
@@ -49,46 +54,47 @@
     uploads: usize,
 }
 
-/// What a tracker tells one agent.
+/// The content of a message from a tracker to an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrackerMessage {
-    /// Bring this chunk in.
+    /// Fetch this chunk into the data centre.
     Grant(GrantedChunk),
-    /// Exchange chunks with these.
+    /// Exchange chunks with these neighbours.
     View(Vec<PeerAddress>),
 }
 
-/// Who is told what.
+/// A message from a tracker to a member of its spread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberMessage {
-    /// The agent.
+    /// The agent to which it is addressed.
     pub member: Name,
-    /// What it is told.
+    /// The content.
     pub message: TrackerMessage,
 }
 
-/// The soft state of one spread.
+/// The state of one spread.
 #[derive(Debug)]
 pub struct Tracker {
     config: TrackerConfig,
     chunks: Option<usize>,
     members: BTreeMap<Name, Member>,
     sites: BTreeMap<Name, Site>,
-    /// Some agents that hold each chunk.
+    /// For each chunk, up to [`MAX_KNOWN_HOLDERS`] agents that hold it.
     holders: Vec<Vec<Name>>,
-    /// Chunks that no agent is known to hold or was told to fetch.
-    unasked: BTreeSet<usize>,
+    /// Chunks that no agent is known to hold or has a grant for.
+    unrequested: BTreeSet<usize>,
     origin_grants: usize,
-    /// Chunks that the origin was asked for so far, repeats included.
-    origin_asked: usize,
+    /// The number of grants for the origin issued so far, including repeated
+    /// ones.
+    origin_requests: usize,
     favour: Favour,
-    since_ms: u64,
+    started_ms: u64,
     is_view_stale: bool,
-    work: u64,
+    planning_steps: u64,
 }
 
 impl Tracker {
-    /// A tracker that knows nobody yet.
+    /// Creates a tracker without members.
     pub fn new(config: TrackerConfig, now_ms: u64) -> Tracker {
         Tracker {
             config,
@@ -96,21 +102,22 @@
             members: BTreeMap::new(),
             sites: BTreeMap::new(),
             holders: vec![],
-            unasked: BTreeSet::new(),
+            unrequested: BTreeSet::new(),
             origin_grants: 0,
-            origin_asked: 0,
+            origin_requests: 0,
             favour: Favour::OriginBytes,
-            since_ms: now_ms,
+            started_ms: now_ms,
             is_view_stale: false,
-            work: 0,
+            planning_steps: 0,
         }
     }
 
-    /// The manifest is known to have so many chunks.
+    /// Sets the number of chunks, once the manifest is known. No grants are
+    /// issued before.
     pub fn set_chunks(&mut self, chunks: usize) {
         self.chunks = Some(chunks);
         self.holders = vec![vec![]; chunks];
-        self.unasked = (0..chunks).collect();
+        self.unrequested = (0..chunks).collect();
         for site in self.sites.values_mut() {
             site.set_chunks(chunks);
         }
@@ -118,38 +125,40 @@
         for name in names {
             let member = self.members.get_mut(&name).expect("it is listed");
             let have = std::mem::take(&mut member.have);
-            self.take_all(&name, &have);
+            self.record_all_held(&name, &have);
         }
     }
 
-    /// What the spread saves first. Under [`Favour::Time`] the origin's spare
-    /// capacity brings chunks into further data centres too, up to a second
-    /// copy in all.
+    /// Sets what the spread is optimised for. Under [`Favour::Time`] spare
+    /// capacity of the origin also serves further data centres, until the
+    /// origin has been asked for twice the number of chunks in total.
     pub fn set_favour(&mut self, favour: Favour) {
         self.favour = favour;
     }
 
-    /// Steps of planning so far; what CI bounds in place of time.
+    /// Returns the number of planning steps so far, which CI bounds instead of
+    /// the elapsed time.
     pub fn planning_steps(&self) -> u64 {
-        self.work
+        self.planning_steps
     }
 
-    /// Number of agents in the spread.
+    /// Returns the number of agents in the spread.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no agent is in the spread.
+    /// Returns whether the spread has no agents.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The members' names.
+    /// Returns the names of the agents in the spread, sorted.
     pub fn members(&self) -> impl Iterator<Item = &Name> {
         self.members.keys()
     }
 
-    /// An agent joins or says again what it holds.
+    /// Adds an agent, or updates its address and the chunks that it holds.
+    /// `bitmap` has one bit per chunk, lowest bit first, set for those held.
     pub fn join(
         &mut self,
         name: &Name,
@@ -167,13 +176,14 @@
             None => self.add(name, data_centre, address),
         }
         if self.chunks.is_some() {
-            self.take_all(name, &have);
+            self.record_all_held(name, &have);
         } else if let Some(member) = self.members.get_mut(name) {
             member.have = have;
         }
     }
 
-    /// An agent is gone; what it was to bring in is granted anew.
+    /// Removes an agent and ends the grants to it and from it, so that their
+    /// chunks can be granted again.
     pub fn leave(&mut self, name: &Name) {
         let Some(member) = self.members.remove(name) else { return };
         self.release_grants_of(name);
@@ -186,16 +196,17 @@
             return;
         }
         for index in member.have.iter() {
-            self.work += 1;
+            self.planning_steps += 1;
             site.remove_copy(index);
             self.holders[index].retain(|holder| holder != name);
             if self.holders[index].is_empty() {
-                self.unasked.insert(index);
+                self.unrequested.insert(index);
             }
         }
     }
 
-    /// An agent holds granted chunks now, or could not get them.
+    /// Records the granted chunks that an agent obtained, and ends the grants
+    /// of those that it failed to fetch.
     pub fn record_obtained(
         &mut self,
         name: &Name,
@@ -205,28 +216,29 @@
         let Some(chunks) = self.chunks else { return };
         for index in held.iter().map(|index| *index as usize) {
             if index < chunks {
-                self.take(name, index);
+                self.record_held(name, index);
             }
         }
         for index in failed.iter().map(|index| *index as usize) {
-            self.give_back(name, index);
+            self.return_grant(name, index);
         }
     }
 
-    /// Grants and views that are due.
+    /// Returns the grants and views that are due. Returns none until the
+    /// number of chunks is known and the gathering time is over.
     pub fn plan(&mut self, now_ms: u64) -> Vec<MemberMessage> {
-        let mut tellings = vec![];
-        let gathered = now_ms >= self.since_ms + self.config.gather_ms;
-        if self.chunks.is_none() || !gathered {
-            return tellings;
+        let mut messages = vec![];
+        let has_gathered = now_ms >= self.started_ms + self.config.gather_ms;
+        if self.chunks.is_none() || !has_gathered {
+            return messages;
         }
         if std::mem::take(&mut self.is_view_stale) {
-            self.tell_views(&mut tellings);
+            self.send_views(&mut messages);
         }
         self.expire_grants(now_ms);
-        self.grant_origin(now_ms, &mut tellings);
-        self.grant_crossings(now_ms, &mut tellings);
-        tellings
+        self.grant_origin(now_ms, &mut messages);
+        self.grant_crossings(now_ms, &mut messages);
+        messages
     }
 
     fn add(&mut self, name: &Name, data_centre: &Name, address: &str) {
@@ -248,22 +260,23 @@
         self.is_view_stale = true;
     }
 
-    fn take_all(&mut self, name: &Name, have: &ChunkSet) {
+    fn record_all_held(&mut self, name: &Name, have: &ChunkSet) {
         for index in have.iter() {
-            self.take(name, index);
+            self.record_held(name, index);
         }
     }
 
-    /// A member holds a chunk.
-    fn take(&mut self, name: &Name, index: usize) {
-        self.work += 1;
+    /// Records that a member holds a chunk, and ends the grant of the chunk
+    /// in its data centre.
+    fn record_held(&mut self, name: &Name, index: usize) {
+        self.planning_steps += 1;
         let Some(member) = self.members.get_mut(name) else { return };
         if !member.have.insert(index) {
             return;
         }
         let data_centre = member.data_centre.clone();
-        self.unasked.remove(&index);
-        if self.holders[index].len() < KNOWN_HOLDERS {
+        self.unrequested.remove(&index);
+        if self.holders[index].len() < MAX_KNOWN_HOLDERS {
             self.holders[index].push(name.clone());
         }
         if let Some(site) = self.sites.get_mut(&data_centre) {
@@ -272,15 +285,15 @@
         self.end_grant(&data_centre, index);
     }
 
-    fn give_back(&mut self, name: &Name, index: usize) {
+    fn return_grant(&mut self, name: &Name, index: usize) {
         let Some(member) = self.members.get(name) else { return };
         let data_centre = member.data_centre.clone();
-        let is_its = self
+        let is_owner = self
             .sites
             .get(&data_centre)
             .and_then(|site| site.granted().get(&index))
             .is_some_and(|granted| granted.member == *name);
-        if is_its {
+        if is_owner {
             self.end_grant(&data_centre, index);
         }
     }
@@ -294,7 +307,7 @@
             None => {
                 self.origin_grants -= 1;
                 if self.holders[index].is_empty() {
-                    self.unasked.insert(index);
+                    self.unrequested.insert(index);
                 }
             }
             Some(source) => {
@@ -316,17 +329,17 @@
         self.end_grants_where(|granted| now_ms >= granted.since_ms + limit_ms);
     }
 
-    fn end_grants_where(&mut self, is_over: impl Fn(&Granted) -> bool) {
-        let mut over = vec![];
+    fn end_grants_where(&mut self, has_ended: impl Fn(&Granted) -> bool) {
+        let mut ended = vec![];
         for (data_centre, site) in &self.sites {
             for (index, granted) in site.granted() {
-                self.work += 1;
-                if is_over(granted) {
-                    over.push((data_centre.clone(), *index));
+                self.planning_steps += 1;
+                if has_ended(granted) {
+                    ended.push((data_centre.clone(), *index));
                 }
             }
         }
-        for (data_centre, index) in over {
+        for (data_centre, index) in ended {
             self.end_grant(&data_centre, index);
         }
     }
@@ -334,51 +347,61 @@
     fn grant_origin(
         &mut self,
         now_ms: u64,
-        tellings: &mut Vec<MemberMessage>,
+        messages: &mut Vec<MemberMessage>,
     ) {
         while self.origin_grants < self.config.origin_slots {
-            self.work += 1;
-            let Some(index) = self.unasked.first().copied() else { return };
-            let Some(data_centre) = self.landing_site() else { return };
-            self.unasked.remove(&index);
-            self.give(&data_centre, index, None, now_ms, tellings);
+            self.planning_steps += 1;
+            let Some(index) = self.unrequested.first().copied() else {
+                return;
+            };
+            let Some(data_centre) = self.origin_entry_site() else { return };
+            self.unrequested.remove(&index);
+            self.issue_grant(&data_centre, index, None, now_ms, messages);
         }
     }
 
     fn grant_crossings(
         &mut self,
         now_ms: u64,
-        tellings: &mut Vec<MemberMessage>,
+        messages: &mut Vec<MemberMessage>,
     ) {
         let sites: Vec<Name> = self.sites.keys().cloned().collect();
         for data_centre in sites {
             for (index, source) in self.crossings_into(&data_centre) {
-                let source = (!self.may_spend_origin()).then_some(source);
-                self.give(&data_centre, index, source, now_ms, tellings);
+                let source =
+                    (!self.may_use_spare_origin_slots()).then_some(source);
+                self.issue_grant(
+                    &data_centre,
+                    index,
+                    source,
+                    now_ms,
+                    messages,
+                );
             }
         }
     }
 
-    /// Whether the origin has capacity to spare that this spread may use.
-    fn may_spend_origin(&self) -> bool {
+    /// Returns whether a chunk that other data centres hold may be granted
+    /// from the origin instead, because the origin has spare capacity.
+    fn may_use_spare_origin_slots(&self) -> bool {
         self.favour == Favour::Time
-            && self.unasked.is_empty()
+            && self.unrequested.is_empty()
             && self.origin_grants < self.config.origin_slots
-            && self.origin_asked < 2 * self.holders.len()
+            && self.origin_requests < 2 * self.holders.len()
     }
 
-    /// Chunks that a data centre lacks and others have, with the least busy
-    /// known holder of each, as many as there are slots for.
+    /// Returns the chunks that a data centre is missing and others hold, with
+    /// the least busy known holder of each, up to the number of free slots.
     fn crossings_into(&mut self, data_centre: &Name) -> Vec<(usize, Name)> {
         let site = &self.sites[data_centre];
         let slots = self.config.crossing_slots;
-        let room = slots.saturating_sub(site.granted().len());
-        if site.is_empty() || room == 0 {
+        let free_slots = slots.saturating_sub(site.granted().len());
+        if site.is_empty() || free_slots == 0 {
             return vec![];
         }
         let mut chosen: Vec<(usize, Name)> = vec![];
-        for index in site.lacking() {
-            self.work += 1 + self.holders[index].len() as u64;
+        for index in site.missing() {
+            self.planning_steps += 1 + self.holders[index].len() as u64;
             let source = self.holders[index]
                 .iter()
                 .filter_map(|name| Some((name, self.members.get(name)?)))
@@ -387,32 +410,32 @@
                 .map(|(name, _)| name.clone());
             match source {
                 Some(source) => chosen.push((index, source)),
-                // Chunks leave the origin in order: those after it are not
-                // there yet either, but for a few.
-                None if self.unasked.contains(&index) => break,
+                // Chunks are granted from the origin in order, so almost
+                // none of the later ones are held anywhere yet.
+                None if self.unrequested.contains(&index) => break,
                 None => {}
             }
-            if chosen.len() == room {
+            if chosen.len() == free_slots {
                 break;
             }
         }
         chosen
     }
 
-    fn give(
+    fn issue_grant(
         &mut self,
         data_centre: &Name,
         index: usize,
         source: Option<Name>,
         now_ms: u64,
-        tellings: &mut Vec<MemberMessage>,
+        messages: &mut Vec<MemberMessage>,
     ) {
-        self.work += 1;
+        self.planning_steps += 1;
         let Some(site) = self.sites.get_mut(data_centre) else { return };
         let Some(member) = site.next_member().cloned() else { return };
         if source.is_none() {
             self.origin_grants += 1;
-            self.origin_asked += 1;
+            self.origin_requests += 1;
         }
         let granted = Granted {
             member: member.clone(),
@@ -426,15 +449,16 @@
             holder.uploads += 1;
         }
         let chunk = GrantedChunk { index: index as u32, source: peer };
-        tellings.push(MemberMessage {
+        messages.push(MemberMessage {
             member,
             message: TrackerMessage::Grant(chunk),
         });
     }
 
-    /// Where chunks from the origin land: in its own data centre, if any
-    /// agent of the spread is there.
-    fn landing_site(&self) -> Option<Name> {
+    /// Returns the data centre that fetches chunks from the origin: the
+    /// origin's own if it has agents in the spread, else that of the first
+    /// member by name. Returns `None` if there are no members.
+    fn origin_entry_site(&self) -> Option<Name> {
         let home = &self.config.origin_data_centre;
         let has_home =
             self.sites.get(home).is_some_and(|site| !site.is_empty());
@@ -450,20 +474,23 @@
         Some(PeerAddress { name: name.to_string(), address })
     }
 
-    fn tell_views(&mut self, tellings: &mut Vec<MemberMessage>) {
+    fn send_views(&mut self, messages: &mut Vec<MemberMessage>) {
         let sites: Vec<Name> = self.sites.keys().cloned().collect();
         for data_centre in sites {
-            let here: Vec<Name> =
+            let site_members: Vec<Name> =
                 self.sites[&data_centre].members().cloned().collect();
-            for (place, name) in here.iter().enumerate() {
-                let names =
-                    neighbours(&here, place, self.config.max_neighbours);
-                self.work += names.len() as u64;
+            for (position, name) in site_members.iter().enumerate() {
+                let names = neighbours(
+                    &site_members,
+                    position,
+                    self.config.max_neighbours,
+                );
+                self.planning_steps += names.len() as u64;
                 let view = names
                     .into_iter()
                     .filter_map(|name| self.address(name))
                     .collect();
-                tellings.push(MemberMessage {
+                messages.push(MemberMessage {
                     member: name.clone(),
                     message: TrackerMessage::View(view),
                 });
@@ -472,15 +499,20 @@
     }
 }
 
-/// The neighbours of `here[place]`: everybody if they are few, else those at
-/// power-of-two distances round the ring, both ways, and then the nearest.
-/// The relation is symmetric, and any two agents are a few steps apart.
-fn neighbours(here: &[Name], place: usize, most: usize) -> Vec<&Name> {
-    let count = here.len();
-    if count <= most + 1 {
-        let others = here.iter().enumerate();
+/// Returns the neighbours of `site_members[position]`: all others if they are
+/// few, else those at power-of-two distances on the ring in both directions,
+/// and then those at the smallest odd distances. The relation is symmetric,
+/// and any two agents are a few hops apart.
+fn neighbours(
+    site_members: &[Name],
+    position: usize,
+    max_count: usize,
+) -> Vec<&Name> {
+    let count = site_members.len();
+    if count <= max_count + 1 {
+        let others = site_members.iter().enumerate();
         return others
-            .filter(|(other, _)| *other != place)
+            .filter(|(other, _)| *other != position)
             .map(|(_, name)| name)
             .collect();
     }
@@ -489,7 +521,7 @@
             .take_while(|distance| *distance * 2 <= count)
             .collect();
     let mut extra = 3;
-    while distances.len() * 2 < most && extra * 2 <= count {
+    while distances.len() * 2 < max_count && extra * 2 <= count {
         if !distances.contains(&extra) {
             distances.push(extra);
         }
@@ -497,15 +529,16 @@
     }
     let mut names: Vec<&Name> = distances
         .iter()
-        .flat_map(|d| [(place + d) % count, (place + count - d) % count])
-        .map(|other| &here[other])
+        .flat_map(|d| [(position + d) % count, (position + count - d) % count])
+        .map(|other| &site_members[other])
         .collect();
     names.sort_unstable();
     names.dedup();
     names
 }
 
-/// The entry host that owns the tracker of `manifest` among `live` ones.
+/// Returns the entry host among `live` that owns the tracker of `manifest`,
+/// or `None` if `live` is empty.
 pub fn tracker_owner<'a>(
     manifest: &crate::Digest,
     live: impl Iterator<Item = &'a Name>,
