--- a/crates/raildale-core/src/spread/upload.rs
+++ b/crates/raildale-core/src/spread/upload.rs
@@ -1,59 +1,62 @@
-//! An agent's upload slots.
+//! The upload slots of an agent.
 //!
-//! Few slots, so that each chunk leaves at nearly the link's rate and can be
-//! passed on early; a short queue behind them, so that a slot that ends finds
-//! the next chunk at once. Whoever holds least is served first: the last host
-//! decides the time to N replicas.
+//! There are few slots, so that each chunk is sent at nearly the full rate of
+//! the link and its receiver can pass it on early. A short queue provides the
+//! next chunk as soon as a slot becomes free. The peer that holds the fewest
+//! chunks is served first, because the last host determines the time to N
+//! replicas.
 
 use crate::{Digest, Name};
 
-/// A chunk that a peer wants from us.
+/// A chunk requested by a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upload {
-    /// Who asked.
+    /// The peer.
     pub peer: Name,
     /// The version.
     pub manifest: Digest,
     /// The chunk.
     pub index: usize,
-    /// Chunks that the peer held when it asked.
+    /// The number of chunks that the peer held when it sent the request.
     pub held: u32,
-    /// Whether it brings the chunk into a data centre that lacks it.
+    /// Whether a tracker granted it, which means that the peer's data centre
+    /// lacks the chunk.
     pub granted: bool,
 }
 
-/// What becomes of a peer's request.
+/// The decision on a peer's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UploadAdmission {
     /// Send the chunk now.
     Now,
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Waiting,
-    /// No slot and no place in the queue.
+    /// The request is refused: no slot is free and the queue is full.
     Busy,
 }
 
-/// The slots and the queue behind them.
+/// The upload slots and the queue of requests that wait for them.
 #[derive(Debug)]
 pub struct UploadQueue {
     slots: usize,
-    places: usize,
+    max_waiting: usize,
     active: Vec<Upload>,
     waiting: Vec<Upload>,
 }
 
 impl UploadQueue {
-    /// `slots` chunks leave at once and `places` more may wait.
-    pub fn new(slots: usize, places: usize) -> UploadQueue {
-        UploadQueue { slots, places, active: vec![], waiting: vec![] }
+    /// Creates a queue for up to `slots` concurrent uploads and `max_waiting`
+    /// waiting ones.
+    pub fn new(slots: usize, max_waiting: usize) -> UploadQueue {
+        UploadQueue { slots, max_waiting, active: vec![], waiting: vec![] }
     }
 
-    /// Takes a request in.
+    /// Adds a request. Granted chunks may wait even if the queue is full.
     pub fn admit(&mut self, upload: Upload) -> UploadAdmission {
         if self.active.len() < self.slots {
             self.start(upload);
             UploadAdmission::Now
-        } else if self.waiting.len() < self.places || upload.granted {
+        } else if self.waiting.len() < self.max_waiting || upload.granted {
             self.waiting.push(upload);
             UploadAdmission::Waiting
         } else {
@@ -61,31 +64,33 @@
         }
     }
 
-    /// A chunk has left; returns the next to send.
+    /// Frees the slot of a chunk that was sent. Returns the next upload to
+    /// start, if any.
     pub fn finish(
         &mut self,
         peer: &str,
         manifest: Digest,
         index: usize,
     ) -> Option<Upload> {
-        let is_it = |upload: &Upload| {
+        let is_match = |upload: &Upload| {
             &*upload.peer == peer
                 && upload.manifest == manifest
                 && upload.index == index
         };
-        let place = self.active.iter().position(is_it)?;
-        self.active.swap_remove(place);
+        let queue_index = self.active.iter().position(is_match)?;
+        self.active.swap_remove(queue_index);
         self.next()
     }
 
-    /// A peer's connection went; returns what its slots are free for now.
+    /// Removes all uploads of a peer that disconnected. Returns the uploads to
+    /// start in the freed slots.
     pub fn remove_peer(&mut self, peer: &str) -> Vec<Upload> {
         self.active.retain(|upload| &*upload.peer != peer);
         self.waiting.retain(|upload| &*upload.peer != peer);
         std::iter::from_fn(|| self.next()).collect()
     }
 
-    /// Chunks on their way out.
+    /// Returns the number of uploads in progress.
     pub fn active(&self) -> usize {
         self.active.len()
     }
@@ -94,11 +99,12 @@
         if self.active.len() >= self.slots {
             return None;
         }
-        let neediest = (0..self.waiting.len()).min_by_key(|place| {
-            let upload = &self.waiting[*place];
-            (!upload.granted, upload.held)
-        })?;
-        let upload = self.waiting.remove(neediest);
+        let next_index =
+            (0..self.waiting.len()).min_by_key(|queue_index| {
+                let upload = &self.waiting[*queue_index];
+                (!upload.granted, upload.held)
+            })?;
+        let upload = self.waiting.remove(next_index);
         self.start(upload.clone());
         Some(upload)
     }
