--- a/crates/raildale-core/src/spread/download.rs
+++ b/crates/raildale-core/src/spread/download.rs
@@ -1,10 +1,10 @@
-//! One version on its way to this host.
+//! The download of one version to this host.
 //!
-//! Chunks inside the data centre are pulled, rarest first, from neighbours
-//! that said they hold them. Chunks that the data centre lacks come only by a
-//! tracker's grant, so that each crosses a data centre's border once. Weighed
-//! against one fixed owner a chunk and against fixed trees; DESIGN.md has the
-//! figures.
+//! Chunks that are in the data centre are pulled, rarest first, from
+//! neighbours that announced them. Chunks that the data centre lacks are
+//! fetched only under a tracker's grant, so that each enters a data centre
+//! once. DESIGN.md compares this with one fixed owner per chunk and with
+//! fixed trees.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,29 +16,34 @@
     message::{GrantedChunk, PeerAddress},
 };
 
-/// Bounds of a download.
+/// The limits of a download.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DownloadConfig {
-    /// Chunks asked for at once.
+    /// The maximum number of chunks requested at once. Granted chunks are
+    /// requested even if it is reached.
     pub window: usize,
-    /// A chunk that takes longer is asked for elsewhere.
+    /// The time after which a request for a chunk is dropped, so that the
+    /// chunk can be requested elsewhere.
     pub chunk_timeout_ms: u64,
-    /// Chunks are announced to neighbours at most so often. A fraction of a
-    /// chunk's time, so that passing on does not wait, and yet few messages.
+    /// The minimum interval between announcements to neighbours. A fraction
+    /// of the transfer time of a chunk, which delays passing chunks on only
+    /// slightly and keeps the number of messages low.
     pub announce_every_ms: u64,
-    /// How long a busy peer is left alone.
+    /// How long no requests are sent to a peer that was busy.
     pub busy_pause_ms: u64,
-    /// Bad or late chunks after which a peer is left out.
+    /// The number of corrupt or late chunks after which a peer is banned.
     pub ban_faults: u32,
-    /// Without any progress for so long, the origin is asked directly.
+    /// The time without progress after which chunks are fetched from the
+    /// origin without a grant.
     pub origin_fallback_ms: u64,
 }
 
 impl DownloadConfig {
-    /// Bounds for a link of `link_bytes_per_s` and chunks of `chunk_bytes`.
+    /// Creates the limits for a link of `link_bytes_per_s` and chunks of
+    /// `chunk_bytes`.
     ///
-    /// A chunk may wait behind a queue and share the link, so it gets twelve
-    /// times its bare time before it counts as stalled.
+    /// A chunk may wait in a queue and share the link, so its time-out is
+    /// twelve times its transfer time at the full rate of the link.
     pub fn new(link_bytes_per_s: u64, chunk_bytes: u64) -> DownloadConfig {
         let chunk_ms = chunk_bytes * 1000 / link_bytes_per_s.max(1);
         DownloadConfig {
@@ -51,30 +56,31 @@
         }
     }
 
-    /// The same with another window.
+    /// Returns the same limits with another window.
     pub fn with_window(mut self, window: usize) -> DownloadConfig {
         self.window = window;
         self
     }
 }
 
-/// Where a chunk is asked for.
+/// The source from which a chunk is requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The origin of weights.
     Origin,
-    /// An agent.
+    /// Another agent.
     Peer(Name),
 }
 
-/// What a download wants done.
+/// An action for the agent to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DownloadAction {
-    /// Ask `source` for a chunk; the address is set for a granted peer.
+    /// Request a chunk from `source`.
     Fetch {
-        /// Whom to ask.
+        /// The source.
         source: Source,
-        /// Where a granted peer listens.
+        /// The address of a peer named in a grant; `None` for neighbours,
+        /// which are connected already, and for the origin.
         address: Option<String>,
         /// The chunk.
         index: usize,
@@ -83,19 +89,19 @@
     },
 }
 
-/// What became of a chunk that arrived.
+/// The result of checking a received chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// Checked, and new.
+    /// The chunk is new and its digest matches the manifest.
     Verified {
-        /// Whether the tracker granted it and waits to hear.
+        /// Whether the tracker granted it and expects a report.
         granted: bool,
     },
-    /// Held already.
+    /// The chunk was already held.
     Duplicate,
-    /// Its digest is not the manifest's.
+    /// The digest does not match the manifest.
     Corrupt {
-        /// Whether its sender is left out from now on.
+        /// Whether this fault caused the sender to be banned.
         banned: bool,
     },
 }
@@ -105,7 +111,7 @@
     have: ChunkSet,
     is_up: bool,
     busy_until_ms: u64,
-    asked: usize,
+    in_flight: usize,
     faults: u32,
 }
 
@@ -116,7 +122,7 @@
     granted: bool,
 }
 
-/// The state of one version at this host.
+/// The state of the download of one version.
 #[derive(Debug)]
 pub struct Download {
     digest: Digest,
@@ -126,11 +132,11 @@
     verified: ChunkSet,
     staged: ChunkSet,
     round: u64,
-    holders: Vec<u16>,
+    holder_counts: Vec<u16>,
     neighbours: BTreeMap<Name, Neighbour>,
     pending: BTreeMap<usize, Pending>,
     grants: VecDeque<GrantedChunk>,
-    fresh: Vec<u32>,
+    unannounced: Vec<u32>,
     paused: bool,
     progress_ms: u64,
     joined_ms: u64,
@@ -138,7 +144,8 @@
 }
 
 impl Download {
-    /// Starts from nothing; `round` is that of its slot at the target.
+    /// Creates a download without chunks. `round` identifies the filling of
+    /// the version's slot at the target.
     pub fn new(
         digest: Digest,
         origin_path: String,
@@ -154,11 +161,11 @@
             verified: ChunkSet::new(),
             staged: ChunkSet::new(),
             round,
-            holders: vec![],
+            holder_counts: vec![],
             neighbours: BTreeMap::new(),
             pending: BTreeMap::new(),
             grants: VecDeque::new(),
-            fresh: vec![],
+            unannounced: vec![],
             paused: false,
             progress_ms: now_ms,
             joined_ms: 0,
@@ -166,69 +173,71 @@
         }
     }
 
-    /// The manifest's digest.
+    /// Returns the digest of the manifest.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Where the origin keeps the version.
+    /// Returns the path of the version at the origin.
     pub fn origin_path(&self) -> &str {
         &self.origin_path
     }
 
-    /// The manifest, once it is here.
+    /// Returns the manifest, or `None` until it is received.
     pub fn manifest(&self) -> Option<&Manifest> {
         self.manifest.as_ref()
     }
 
-    /// The round in which the target's slot is being filled.
+    /// Returns the round in which the target's slot is being filled.
     pub fn round(&self) -> u64 {
         self.round
     }
 
-    /// The chunks whose digests checked.
+    /// Returns the chunks held, whose digests were verified.
     pub fn verified(&self) -> &ChunkSet {
         &self.verified
     }
 
-    /// Whether every chunk's digest has checked.
+    /// Returns whether every chunk is held and verified.
     pub fn is_whole(&self) -> bool {
         self.manifest.as_ref().is_some_and(|m| m.len() == self.verified.len())
     }
 
-    /// Whether every chunk also stands in the target's staging slot.
+    /// Returns whether every chunk is also staged in the target's slot.
     pub fn is_staged(&self) -> bool {
         self.is_whole() && self.staged.len() == self.verified.len()
     }
 
-    /// Whether the tracker is to hear again what is held: soon while nothing
-    /// moves, seldom otherwise. A tracker's state is soft, and a join or a
-    /// view may be lost with a connection or a process.
+    /// Returns whether the tracker is to be sent another join: frequently
+    /// while the download makes no progress, rarely otherwise. The state of a
+    /// tracker is soft, and a join or a view may be lost with a connection or
+    /// a process.
     pub fn is_join_due(&self, now_ms: u64) -> bool {
         let is_slow = !self.is_whole() && now_ms >= self.progress_ms + 1_000;
         let every_ms = if is_slow { 2_000 } else { 10_000 };
         now_ms >= self.joined_ms + every_ms
     }
 
-    /// The tracker is told what is held.
+    /// Records that a join was sent to the tracker.
     pub fn record_join(&mut self, now_ms: u64) {
         self.joined_ms = now_ms;
     }
 
-    /// Stops or goes on asking for chunks.
+    /// Pauses or resumes requesting chunks.
     pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
     }
 
-    /// Takes a manifest in; `false` if it is not the one wanted.
+    /// Sets the manifest. Returns `false`, and changes nothing, if its digest
+    /// is not that of this version.
     pub fn set_manifest(&mut self, manifest: Manifest) -> bool {
         if manifest.digest() != self.digest {
             return false;
         }
-        self.holders = vec![0; manifest.len()];
+        self.holder_counts = vec![0; manifest.len()];
         for neighbour in self.neighbours.values() {
             for index in neighbour.have.iter() {
-                if let Some(holders) = self.holders.get_mut(index) {
+                if let Some(holders) = self.holder_counts.get_mut(index) {
                     *holders += 1;
                 }
             }
@@ -237,14 +246,19 @@
         true
     }
 
-    /// A chunk is here already from another version with the same bytes.
+    /// Adds a chunk that is already held as part of another version. Ignores
+    /// it if `digest` is not that of the chunk `index` in the manifest.
     pub fn add_existing(&mut self, index: usize, digest: Digest) {
         if self.expects(index, digest) && self.verified.insert(index) {
-            self.fresh.push(index as u32);
+            self.unannounced.push(index as u32);
         }
     }
 
-    /// The target took a chunk into the version's own slot.
+    /// Records that the target stored a chunk in the version's own slot.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the chunk is not verified.
     pub fn set_staged(&mut self, index: usize) {
         assert!(
             self.verified.contains(index),
@@ -253,7 +267,7 @@
         self.staged.insert(index);
     }
 
-    /// Replaces the neighbours; returns those that are gone.
+    /// Replaces the neighbours. Returns those that were removed.
     pub fn set_neighbours(&mut self, view: &[PeerAddress]) -> Vec<Name> {
         let gone: Vec<Name> = self
             .neighbours
@@ -271,54 +285,56 @@
         gone
     }
 
-    /// The neighbours' names.
+    /// Returns the names of the neighbours.
     pub fn neighbours(&self) -> impl Iterator<Item = &Name> {
         self.neighbours.keys()
     }
 
-    /// Whether `peer` is a neighbour in this spread.
+    /// Returns whether `peer` is a neighbour in this spread.
     pub fn is_neighbour(&self, peer: &str) -> bool {
         self.neighbours.contains_key(peer)
     }
 
-    /// Whether the connection to a neighbour is up.
+    /// Returns whether `peer` is a neighbour marked as connected in this
+    /// spread.
     pub fn is_up(&self, peer: &str) -> bool {
         self.neighbours.get(peer).is_some_and(|neighbour| neighbour.is_up)
     }
 
-    /// A connection to a neighbour is up.
+    /// Records that a neighbour is connected.
     pub fn peer_up(&mut self, peer: &str) {
         if let Some(neighbour) = self.neighbours.get_mut(peer) {
             neighbour.is_up = true;
         }
     }
 
-    /// A connection is down: what was asked there is asked elsewhere, and
-    /// granted chunks go back to the tracker.
+    /// Handles the loss of the connection to a peer. Chunks requested from it
+    /// can be requested elsewhere. Returns those that were granted, which are
+    /// to be returned to the tracker.
     pub fn peer_down(&mut self, peer: &str) -> Vec<usize> {
-        let lost: Vec<usize> = self.asked_of(peer).collect();
-        let give_back = lost
+        let lost: Vec<usize> = self.pending_at(peer).collect();
+        let returned = lost
             .iter()
             .filter(|index| self.pending[index].granted)
             .copied()
             .collect();
         for index in lost {
-            self.forget_pending(index);
+            self.remove_pending(index);
         }
         if let Some(neighbour) = self.neighbours.get_mut(peer) {
             neighbour.is_up = false;
             for index in neighbour.have.iter() {
-                if let Some(holders) = self.holders.get_mut(index) {
+                if let Some(holders) = self.holder_counts.get_mut(index) {
                     *holders -= 1;
                 }
             }
             neighbour.have = ChunkSet::new();
         }
-        give_back
+        returned
     }
 
-    /// A neighbour says what it holds. It may say so before the manifest is
-    /// here; what it holds is kept and counted then.
+    /// Records chunks that a neighbour holds. Those recorded before the
+    /// manifest is received are counted when it is set.
     pub fn record_held_chunks(
         &mut self,
         peer: &str,
@@ -327,25 +343,27 @@
     ) {
         let Some(neighbour) = self.neighbours.get_mut(peer) else { return };
         let len = self.manifest.as_ref().map_or(MAX_CHUNKS, Manifest::len);
-        let more = ChunkSet::from_bitmap(bitmap, len);
-        let single = indices.iter().map(|index| *index as usize);
-        for index in more.iter().chain(single).filter(|index| *index < len) {
+        let held_set = ChunkSet::from_bitmap(bitmap, len);
+        let indices_held = indices.iter().map(|index| *index as usize);
+        for index in
+            held_set.iter().chain(indices_held).filter(|index| *index < len)
+        {
             let is_new = neighbour.have.insert(index);
             if let Some(holders) =
-                self.holders.get_mut(index).filter(|_| is_new)
+                self.holder_counts.get_mut(index).filter(|_| is_new)
             {
                 *holders += 1;
             }
         }
     }
 
-    /// The tracker lets this host bring chunks in.
+    /// Adds chunks that the tracker granted to this host.
     pub fn add_grants(&mut self, chunks: Vec<GrantedChunk>) {
         self.grants.extend(chunks);
     }
 
-    /// A peer will not send a chunk; returns whether it goes back to the
-    /// tracker.
+    /// Handles a peer's refusal to send a chunk. Returns whether the chunk
+    /// was granted and is to be returned to the tracker.
     pub fn on_refused(
         &mut self,
         peer: &str,
@@ -353,15 +371,15 @@
         busy: bool,
         now_ms: u64,
     ) -> bool {
-        let asked_there = matches!(
+        let is_pending_there = matches!(
             self.pending.get(&index),
             Some(Pending { source: Source::Peer(name), .. }) if **name == *peer
         );
-        if !asked_there {
+        if !is_pending_there {
             return false;
         }
         let granted = self.pending[&index].granted;
-        self.forget_pending(index);
+        self.remove_pending(index);
         if let Some(neighbour) = self.neighbours.get_mut(peer)
             && busy
         {
@@ -370,7 +388,7 @@
         granted
     }
 
-    /// A chunk arrived, with the digest that its bytes have.
+    /// Handles a received chunk; `digest` is that of its bytes.
     pub fn on_chunk(
         &mut self,
         source: &Source,
@@ -381,41 +399,42 @@
         let granted =
             self.pending.get(&index).is_some_and(|pending| pending.granted);
         if !self.expects(index, digest) {
-            let banned = self.blame(source, now_ms);
+            let banned = self.record_fault(source, now_ms);
             return Arrival::Corrupt { banned };
         }
-        self.forget_pending(index);
+        self.remove_pending(index);
         if !self.verified.insert(index) {
             return Arrival::Duplicate;
         }
         if granted || *source != Source::Origin {
             self.progress_ms = now_ms;
         }
-        self.fresh.push(index as u32);
+        self.unannounced.push(index as u32);
         Arrival::Verified { granted }
     }
 
-    /// A fetch failed or brought bad bytes; returns whether the chunk goes
-    /// back to the tracker.
+    /// Handles a fetch that failed or returned corrupt bytes. Returns whether
+    /// the chunk was granted and is to be returned to the tracker.
     pub fn on_fetch_failed(&mut self, index: usize) -> bool {
         let granted =
             self.pending.get(&index).is_some_and(|pending| pending.granted);
-        self.forget_pending(index);
+        self.remove_pending(index);
         granted
     }
 
-    /// Takes the chunks verified since the last call, if it is time to
-    /// announce them.
+    /// Removes and returns the chunks verified since the last announcement.
+    /// Returns none if the next announcement is not due yet.
     pub fn take_unannounced(&mut self, now_ms: u64) -> Vec<u32> {
         if now_ms < self.announced_ms + self.config.announce_every_ms {
             return vec![];
         }
         self.announced_ms = now_ms;
-        std::mem::take(&mut self.fresh)
+        std::mem::take(&mut self.unannounced)
     }
 
-    /// Drops requests that made no progress in time; returns whom they were
-    /// asked of and whether the tracker has to hear.
+    /// Drops requests that have timed out. Returns the source and the chunk
+    /// of each, and whether it was granted and is to be returned to the
+    /// tracker.
     pub fn expire_requests(
         &mut self,
         now_ms: u64,
@@ -431,15 +450,15 @@
         for index in late {
             let source = self.pending[&index].source.clone();
             let granted = self.pending[&index].granted;
-            self.blame(&source, now_ms);
-            self.forget_pending(index);
+            self.record_fault(&source, now_ms);
+            self.remove_pending(index);
             expired.push((source, index, granted));
         }
         expired
     }
 
-    /// Fills the window: grants first, then the rarest chunk that some free
-    /// neighbour holds.
+    /// Requests granted chunks, and then fills the window with the rarest
+    /// chunks that free neighbours hold.
     pub fn fill_window(
         &mut self,
         rng: &mut SmallRng,
@@ -449,8 +468,8 @@
         if self.manifest.is_none() || self.paused || self.is_whole() {
             return wants;
         }
-        // A grant is what a whole data centre waits for: it does not wait
-        // for a place in the window.
+        // A whole data centre waits for a granted chunk, so it is requested
+        // even if the window is full.
         wants.extend(std::iter::from_fn(|| self.next_grant(now_ms)));
         while self.pending.len() < self.config.window {
             let Some(want) = self.next_rarest(rng, now_ms) else { break };
@@ -459,9 +478,10 @@
         wants
     }
 
-    /// Chunks to take from the origin without a grant, when peers and the
-    /// tracker have moved nothing for long. Their arrival does not count as
-    /// a move, so that a host on its own goes on at its window's pace.
+    /// Returns chunks to fetch from the origin without a grant, if neither
+    /// peers nor grants have made progress for `origin_fallback_ms`. The
+    /// arrival of such chunks does not count as progress, so that an isolated
+    /// host continues to fetch as many as its window allows.
     pub fn fetch_from_origin_if_stalled(
         &mut self,
         rng: &mut SmallRng,
@@ -473,30 +493,32 @@
         if !is_stuck {
             return vec![];
         }
-        let room = self.config.window.saturating_sub(self.pending.len());
-        // At random, so that hosts cut off together bring in different
-        // chunks and pass them on to one another.
-        let chosen: Vec<usize> = self.missing().sample(rng, room);
+        let free_slots = self.config.window.saturating_sub(self.pending.len());
+        // Chosen at random, so that hosts that are cut off together fetch
+        // different chunks and exchange them.
+        let chosen: Vec<usize> = self.missing().sample(rng, free_slots);
         for index in &chosen {
-            self.ask(*index, Source::Origin, false, now_ms);
+            self.record_request(*index, Source::Origin, false, now_ms);
         }
         chosen
     }
 
-    /// Fills the window from the origin alone: the baseline.
+    /// Returns chunks to fetch from the origin until the window is full, for
+    /// the baseline that uses no peers.
     pub fn fill_window_from_origin(&mut self, now_ms: u64) -> Vec<usize> {
         if self.paused {
             return vec![];
         }
-        let room = self.config.window.saturating_sub(self.pending.len());
-        let next: Vec<usize> = self.missing().take(room).collect();
+        let free_slots = self.config.window.saturating_sub(self.pending.len());
+        let next: Vec<usize> = self.missing().take(free_slots).collect();
         for index in &next {
-            self.ask(*index, Source::Origin, false, now_ms);
+            self.record_request(*index, Source::Origin, false, now_ms);
         }
         next
     }
 
-    /// Forgets what the target took; returns the chunks to hand it again.
+    /// Starts a new round: marks all chunks as not staged. Returns those to
+    /// stage, with their digests.
     pub fn restage(&mut self, round: u64) -> Vec<(usize, Digest)> {
         self.round = round;
         self.staged = ChunkSet::new();
@@ -525,7 +547,7 @@
                     Some(peer.address),
                 ),
             };
-            self.ask(index, source.clone(), true, now_ms);
+            self.record_request(index, source.clone(), true, now_ms);
             return Some(DownloadAction::Fetch {
                 source,
                 address,
@@ -543,7 +565,7 @@
         let free = self.free_neighbours(now_ms);
         let mut best: Option<(u16, u32, usize)> = None;
         for index in self.missing() {
-            let rarity = self.holders[index];
+            let rarity = self.holder_counts[index];
             if rarity == 0 || best.is_some_and(|(least, _, _)| rarity > least)
             {
                 continue;
@@ -559,15 +581,17 @@
         let (_, _, index) = best?;
         let holders: Vec<&Name> =
             free.iter().filter(|name| self.has(name, index)).collect();
-        let least =
-            holders.iter().map(|name| self.neighbours[*name].asked).min()?;
-        let idle: Vec<&Name> = holders
+        let least = holders
+            .iter()
+            .map(|name| self.neighbours[*name].in_flight)
+            .min()?;
+        let least_busy: Vec<&Name> = holders
             .into_iter()
-            .filter(|name| self.neighbours[*name].asked == least)
+            .filter(|name| self.neighbours[*name].in_flight == least)
             .collect();
-        let peer = idle[rng.random_range(0..idle.len())].clone();
+        let peer = least_busy[rng.random_range(0..least_busy.len())].clone();
         let source = Source::Peer(peer);
-        self.ask(index, source.clone(), false, now_ms);
+        self.record_request(index, source.clone(), false, now_ms);
         Some(DownloadAction::Fetch {
             source,
             address: None,
@@ -581,7 +605,7 @@
             .iter()
             .filter(|(_, neighbour)| {
                 neighbour.is_up
-                    && neighbour.asked < 2
+                    && neighbour.in_flight < 2
                     && neighbour.busy_until_ms <= now_ms
                     && neighbour.faults < self.config.ban_faults
             })
@@ -590,7 +614,7 @@
     }
 
     fn missing(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.holders.len()).filter(|index| {
+        (0..self.holder_counts.len()).filter(|index| {
             !self.verified.contains(*index)
                 && !self.pending.contains_key(index)
         })
@@ -607,7 +631,7 @@
             .is_some_and(|expected| *expected == digest)
     }
 
-    fn asked_of(&self, peer: &str) -> impl Iterator<Item = usize> + '_ {
+    fn pending_at(&self, peer: &str) -> impl Iterator<Item = usize> + '_ {
         let peer: Name = peer.into();
         self.pending
             .iter()
@@ -617,7 +641,7 @@
             .map(|(index, _)| *index)
     }
 
-    fn ask(
+    fn record_request(
         &mut self,
         index: usize,
         source: Source,
@@ -627,22 +651,22 @@
         if let Source::Peer(name) = &source
             && let Some(neighbour) = self.neighbours.get_mut(name)
         {
-            neighbour.asked += 1;
+            neighbour.in_flight += 1;
         }
         let pending = Pending { source, since_ms: now_ms, granted };
         self.pending.insert(index, pending);
     }
 
-    fn forget_pending(&mut self, index: usize) {
+    fn remove_pending(&mut self, index: usize) {
         let Some(pending) = self.pending.remove(&index) else { return };
         if let Source::Peer(name) = &pending.source
             && let Some(neighbour) = self.neighbours.get_mut(name)
         {
-            neighbour.asked = neighbour.asked.saturating_sub(1);
+            neighbour.in_flight = neighbour.in_flight.saturating_sub(1);
         }
     }
 
-    fn blame(&mut self, source: &Source, now_ms: u64) -> bool {
+    fn record_fault(&mut self, source: &Source, now_ms: u64) -> bool {
         let Source::Peer(name) = source else { return false };
         let Some(neighbour) = self.neighbours.get_mut(name) else {
             return false;
