--- a/crates/raildale-core/src/request/routing.rs
+++ b/crates/raildale-core/src/request/routing.rs
@@ -279,7 +279,7 @@
         let best = [first, second]
             .into_iter()
             .min_by_key(|name| self.cost(name))
-            .expect("two candidates were drawn");
+            .expect("there are two candidates");
         let preferred = self
             .prefixes
             .get(&prefix)
--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -82,7 +82,7 @@
     /// For each chunk, up to [`MAX_KNOWN_HOLDERS`] agents that hold it.
     holders: Vec<Vec<Name>>,
     /// Chunks that no agent is known to hold or has a grant for.
-    unrequested: BTreeSet<usize>,
+    ungranted: BTreeSet<usize>,
     origin_grants: usize,
     /// The number of grants for the origin issued so far, including repeated
     /// ones.
@@ -102,7 +102,7 @@
             members: BTreeMap::new(),
             sites: BTreeMap::new(),
             holders: vec![],
-            unrequested: BTreeSet::new(),
+            ungranted: BTreeSet::new(),
             origin_grants: 0,
             origin_requests: 0,
             favour: Favour::OriginBytes,
@@ -117,7 +117,7 @@
     pub fn set_chunks(&mut self, chunks: usize) {
         self.chunks = Some(chunks);
         self.holders = vec![vec![]; chunks];
-        self.unrequested = (0..chunks).collect();
+        self.ungranted = (0..chunks).collect();
         for site in self.sites.values_mut() {
             site.set_chunks(chunks);
         }
@@ -200,7 +200,7 @@
             site.remove_copy(index);
             self.holders[index].retain(|holder| holder != name);
             if self.holders[index].is_empty() {
-                self.unrequested.insert(index);
+                self.ungranted.insert(index);
             }
         }
     }
@@ -275,7 +275,7 @@
             return;
         }
         let data_centre = member.data_centre.clone();
-        self.unrequested.remove(&index);
+        self.ungranted.remove(&index);
         if self.holders[index].len() < MAX_KNOWN_HOLDERS {
             self.holders[index].push(name.clone());
         }
@@ -307,7 +307,7 @@
             None => {
                 self.origin_grants -= 1;
                 if self.holders[index].is_empty() {
-                    self.unrequested.insert(index);
+                    self.ungranted.insert(index);
                 }
             }
             Some(source) => {
@@ -351,11 +351,11 @@
     ) {
         while self.origin_grants < self.config.origin_slots {
             self.planning_steps += 1;
-            let Some(index) = self.unrequested.first().copied() else {
+            let Some(index) = self.ungranted.first().copied() else {
                 return;
             };
             let Some(data_centre) = self.origin_entry_site() else { return };
-            self.unrequested.remove(&index);
+            self.ungranted.remove(&index);
             self.issue_grant(&data_centre, index, None, now_ms, messages);
         }
     }
@@ -385,7 +385,7 @@
     /// from the origin instead, because the origin has spare capacity.
     fn may_use_spare_origin_slots(&self) -> bool {
         self.favour == Favour::Time
-            && self.unrequested.is_empty()
+            && self.ungranted.is_empty()
             && self.origin_grants < self.config.origin_slots
             && self.origin_requests < 2 * self.holders.len()
     }
@@ -412,7 +412,7 @@
                 Some(source) => chosen.push((index, source)),
                 // Chunks are granted from the origin in order, so almost
                 // none of the later ones are held anywhere yet.
-                None if self.unrequested.contains(&index) => break,
+                None if self.ungranted.contains(&index) => break,
                 None => {}
             }
             if chosen.len() == free_slots {
