--- a/crates/raildale-core/src/spread/tracker.rs
+++ b/crates/raildale-core/src/spread/tracker.rs
@@ -351,9 +351,7 @@
     ) {
         while self.origin_grants < self.config.origin_slots {
             self.planning_steps += 1;
-            let Some(index) = self.ungranted.first().copied() else {
-                return;
-            };
+            let Some(index) = self.ungranted.first().copied() else { return };
             let Some(data_centre) = self.origin_entry_site() else { return };
             self.ungranted.remove(&index);
             self.issue_grant(&data_centre, index, None, now_ms, messages);
