--- a/crates/raildale-core/src/entry/attempts.rs
+++ b/crates/raildale-core/src/entry/attempts.rs
@@ -8,7 +8,7 @@
     Code, LogEvent, Name, Ran,
     message::{Ended, Piece},
     request::{
-        admission::Waiting,
+        admission::QueuedRequest,
         dispatch::{Answer, Stage},
         run_key::RunKey,
     },
@@ -34,7 +34,7 @@
         if request.run_key.as_deref() != Some(piece.run_key.as_str()) {
             return log_late_answer(&piece.run_key, effects);
         }
-        let new = request.answer.take(&piece);
+        let new = request.answer.append(&piece);
         if request.submission.stream && !new.is_empty() {
             effects.push(Effect::Stream(id, new));
         }
@@ -89,7 +89,7 @@
         }
         let worked =
             !matches!(code, Code::Cut | Code::Unknown | Code::TargetRefused);
-        if self.router.ended(agent, worked, now_ms) {
+        if self.router.record_result(agent, worked, now_ms) {
             let detail = agent.to_string();
             effects.push(Effect::Log(LogEvent::TargetSuspect, detail));
         }
@@ -195,7 +195,8 @@
         let request = self.requests.get_mut(&id).expect("it is listed");
         request.stage = Stage::Queued;
         request.answer = Answer::new();
-        let waiting = Waiting { request: id, model: request.model.clone() };
+        let waiting =
+            QueuedRequest { request: id, model: request.model.clone() };
         let organisation = request.organisation.clone();
         let priority = request.submission.priority;
         self.queues.push(priority, &organisation, waiting);
@@ -279,7 +280,7 @@
         let prefix = request.submission.prefix;
         let body = dispatch_body(request, now_ms);
         self.requests_by_attempt.insert(attempt, id);
-        self.router.sent(agent, prefix);
+        self.router.record_dispatch(agent, prefix);
         effects.push(Effect::ToAgent(agent.clone(), body));
     }
 }
--- a/crates/raildale-core/src/entry/requests.rs
+++ b/crates/raildale-core/src/entry/requests.rs
@@ -5,7 +5,7 @@
     Code, Digest, LogEvent, Name, Ran,
     message::{Body, Cancel, Dispatch},
     request::{
-        admission::{Priority, Waiting},
+        admission::{Priority, QueuedRequest},
         dispatch::{Answer, Request, Stage, Submission},
     },
 };
@@ -69,7 +69,7 @@
             return Err(retry_soon(Code::NoTarget));
         }
         let priority = submission.priority;
-        let waiting = self.queues.len_of(priority, &organisation) as u64;
+        let waiting = self.queues.queue_len(priority, &organisation) as u64;
         if waiting >= rules.queue_places.value {
             return Err(retry_soon(Code::QueueFull));
         }
@@ -95,7 +95,11 @@
         };
         self.requests.insert(request, entry);
         self.deadlines.insert((deadline_ms, request));
-        self.queues.push(priority, &organisation, Waiting { request, model });
+        self.queues.push(
+            priority,
+            &organisation,
+            QueuedRequest { request, model },
+        );
         Ok(())
     }
 
@@ -146,7 +150,7 @@
         let Some(service_time) = self.service_times.get(model) else {
             return Ok(());
         };
-        let ahead = self.queues.ahead_of(priority, model);
+        let ahead = self.queues.count_ahead(priority, model);
         if ahead == 0 {
             return Ok(());
         }
@@ -173,8 +177,9 @@
                     .get(&waiting.request)
                     .is_some_and(Request::key_is_held);
                 let capacity = router.capacity(&waiting.model, now_ms);
-                let room = router.room(&waiting.model, now_ms);
-                let kept = capacity * (100 - priority.room_percent()) / 100;
+                let room = router.free_capacity(&waiting.model, now_ms);
+                let kept =
+                    capacity * (100 - priority.max_fill_percent()) / 100;
                 is_pinned || room > kept
             });
             let Some(waiting) = next else { return };
@@ -225,7 +230,7 @@
         let prefix = request.submission.prefix;
         let body = dispatch_body(request, now_ms);
         self.requests_by_attempt.insert(attempt, id);
-        self.router.sent(&agent, prefix);
+        self.router.record_dispatch(&agent, prefix);
         effects.push(Effect::ToAgent(agent, body));
     }
 
@@ -366,7 +371,7 @@
             // A target that exceeds a deadline is counted as failing, whatever
             // it reports.
             let worked = response.code != Code::DeadlinePassed;
-            self.router.ended(agent, worked, now_ms);
+            self.router.record_result(agent, worked, now_ms);
         }
         self.deadlines.remove(&(request.deadline_ms, id));
         self.queues.remove(id);
--- a/crates/raildale-core/src/entry/trackers.rs
+++ b/crates/raildale-core/src/entry/trackers.rs
@@ -5,7 +5,7 @@
     Digest, LogEvent, Manifest, Name,
     message::{Body, Grant, Join, LeaveSpread, ManifestBody, Obtained, View},
     settings::tree::Favour,
-    spread::tracker::{Told, Tracker},
+    spread::tracker::{Tracker, TrackerMessage},
 };
 
 /// How long to wait before a manifest is requested from the origin again.
@@ -132,7 +132,7 @@
         };
         if let Some(spread) = self.spreads.get_mut(&digest) {
             let Obtained { held, failed, .. } = obtained;
-            spread.tracker.obtained(agent, &held, &failed);
+            spread.tracker.record_obtained(agent, &held, &failed);
             self.send_plan(digest, now_ms, effects);
         }
     }
@@ -183,11 +183,11 @@
         let Some(spread) = self.spreads.get_mut(&digest) else { return };
         for message in spread.tracker.plan(now_ms) {
             let manifest = digest.to_vec();
-            let body = match message.told {
-                Told::Grant(chunk) => {
+            let body = match message.message {
+                TrackerMessage::Grant(chunk) => {
                     Body::Grant(Grant { manifest, chunks: vec![chunk] })
                 }
-                Told::View(neighbours) => {
+                TrackerMessage::View(neighbours) => {
                     Body::View(View { manifest, neighbours })
                 }
             };
--- a/crates/raildale-core/tests/counted_work.rs
+++ b/crates/raildale-core/tests/counted_work.rs
@@ -6,7 +6,7 @@
 use raildale_core::{
     Name,
     settings::tree::Favour,
-    spread::tracker::{Told, Tracker, TrackerConfig},
+    spread::tracker::{Tracker, TrackerConfig, TrackerMessage},
 };
 use yare::parameterized;
 
@@ -37,18 +37,18 @@
     loop {
         now_ms += 1;
         for update in tracker.plan(now_ms) {
-            match update.told {
-                Told::Grant(chunk) => {
+            match update.message {
+                TrackerMessage::Grant(chunk) => {
                     grants += 1;
                     in_flight.push_back((update.member, chunk.index));
                 }
-                Told::View(_) => views += 1,
+                TrackerMessage::View(_) => views += 1,
             }
         }
         let Some((member, index)) = in_flight.pop_front() else {
             return (grants, views);
         };
-        tracker.obtained(&member, &[index], &[]);
+        tracker.record_obtained(&member, &[index], &[]);
     }
 }
 
@@ -69,7 +69,7 @@
     // counts.
     println!(
         "{hosts} hosts, {chunks} chunks: {grants} grants, {} steps, {:?}",
-        tracker.work(),
+        tracker.planning_steps(),
         start.elapsed()
     );
     assert_eq!(
@@ -78,7 +78,7 @@
         "each chunk enters each data centre once"
     );
     assert_eq!(views, hosts, "each agent gets its neighbours once");
-    let steps_per_grant = tracker.work() / grants as u64;
+    let steps_per_grant = tracker.planning_steps() / grants as u64;
     assert!(steps_per_grant <= 100, "{steps_per_grant} steps per grant");
 }
 
@@ -99,13 +99,13 @@
     let mut in_flight: VecDeque<(Name, u32)> = VecDeque::new();
     for now_ms in 1.. {
         for update in tracker.plan(now_ms) {
-            if let Told::Grant(chunk) = update.told {
+            if let TrackerMessage::Grant(chunk) = update.message {
                 from_origin += usize::from(chunk.source.is_none());
                 in_flight.push_back((update.member, chunk.index));
             }
         }
         let Some((member, index)) = in_flight.pop_front() else { break };
-        tracker.obtained(&member, &[index], &[]);
+        tracker.record_obtained(&member, &[index], &[]);
     }
     assert!((min_copies..=max_copies).contains(&from_origin), "{from_origin}");
 }
--- a/crates/raildale-core/tests/world/mod.rs
+++ b/crates/raildale-core/tests/world/mod.rs
@@ -676,7 +676,7 @@
         match effect {
             E::ToEntry(to, body) => self.send(name, &to, body, true),
             E::Dial { name: peer, .. } => self.want_link(name, &peer),
-            E::Hangup(peer) => {
+            E::Disconnect(peer) => {
                 self.cut(name, &peer);
                 self.links.remove(&(name.clone(), peer));
             }
@@ -827,17 +827,17 @@
                     .entry(manifest)
                     .or_default()
                     .insert(index, digest);
-                agent::Event::Staged { manifest, index, round, taken: true }
+                agent::Event::Staged { manifest, index, round, stored: true }
             }
             TargetOrder::Activate(model, manifest, fence) => {
                 let is_low =
                     target.fence.is_some_and(|highest| fence < highest);
-                let obeyed = !(target.checks_fences && is_low);
-                if obeyed {
+                let activated = !(target.checks_fences && is_low);
+                if activated {
                     target.active = Some(manifest);
                     target.fence = target.fence.max(Some(fence));
                 }
-                agent::Event::Activated { model, manifest, obeyed }
+                agent::Event::Activated { model, manifest, activated }
             }
         };
         let wait = self.rng.random_range(1..10);
@@ -849,10 +849,10 @@
     fn fail(&mut self, host: &Name, incarnation: u64, order: TargetOrder) {
         let event = match order {
             TargetOrder::Stage(manifest, index, _, round) => {
-                agent::Event::Staged { manifest, index, round, taken: false }
+                agent::Event::Staged { manifest, index, round, stored: false }
             }
             TargetOrder::Activate(model, manifest, _) => {
-                agent::Event::Activated { model, manifest, obeyed: false }
+                agent::Event::Activated { model, manifest, activated: false }
             }
         };
         self.later(0, Happening::Agent(host.clone(), incarnation, event));
--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -350,7 +350,7 @@
             }
             Effect::DialEntry(entry) => self.dial_entry(&entry),
             Effect::Dial { name, address } => self.dial_peer(name, &address),
-            Effect::Hangup(name) => self.hangup(&name),
+            Effect::Disconnect(name) => self.hangup(&name),
             Effect::ToPeer(name, body) => self.send_to_peer(name, body),
             Effect::ReplyToPeer(name, body) => {
                 if let Some(link) = self.accepted(&name) {
@@ -373,9 +373,9 @@
                 let target = self.target.clone();
                 let events = self.events_tx.clone();
                 tokio::spawn(async move {
-                    let obeyed =
+                    let activated =
                         target.activate(&model, manifest, fence).await;
-                    let done = Event::Activated { model, manifest, obeyed };
+                    let done = Event::Activated { model, manifest, activated };
                     let _ = events.send(done);
                 });
             }
@@ -490,13 +490,13 @@
         let staging = self.staging.clone();
         tokio::spawn(async move {
             let Ok(_turn) = staging.acquire().await else { return };
-            let taken = target.stage(manifest, index, data).await;
-            if !taken {
+            let stored = target.stage(manifest, index, data).await;
+            if !stored {
                 // A target that is down is not asked in a tight loop.
                 tokio::time::sleep(TICK * 10).await;
             }
             let _ =
-                events.send(Event::Staged { manifest, index, round, taken });
+                events.send(Event::Staged { manifest, index, round, stored });
         });
     }
 
