--- a/crates/raildale-core/src/swarm/digest.rs
+++ b/crates/raildale-core/src/swarm/digest.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of a digest.
+/// The size of a digest in bytes.
 const DIGEST_BYTES: usize = 32;
 
 /// The SHA-256 digest of a chunk.
@@ -11,12 +11,12 @@
 pub struct WeightDigest([u8; DIGEST_BYTES]);
 
 impl WeightDigest {
-    /// The digest of `data`.
+    /// Computes the digest of `data`.
     pub fn of(data: &[u8]) -> WeightDigest {
         WeightDigest(Sha256::digest(data).into())
     }
 
-    /// Encodes digests one after the other, as messages carry a manifest.
+    /// Concatenates digests in the form in which messages carry a manifest.
     pub fn encode_all(digests: &[WeightDigest]) -> Bytes {
         let mut bytes = BytesMut::with_capacity(digests.len() * DIGEST_BYTES);
         for digest in digests {
@@ -25,8 +25,8 @@
         bytes.freeze()
     }
 
-    /// Decodes what [`WeightDigest::encode_all`] encodes; `None` if the last
-    /// digest is cut short.
+    /// Decodes the output of [`WeightDigest::encode_all`]. Returns `None` if
+    /// the last digest is truncated.
     pub fn decode_all(bytes: &[u8]) -> Option<Vec<WeightDigest>> {
         bytes
             .chunks(DIGEST_BYTES)
@@ -34,7 +34,8 @@
             .collect()
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses exactly 64 hexadecimal digits. Returns `None` for any other
+    /// input.
     pub fn from_hex(text: &str) -> Option<WeightDigest> {
         let digits = text.as_bytes();
         if digits.len() != 2 * DIGEST_BYTES {
--- a/crates/raildale-core/src/swarm/mod.rs
+++ b/crates/raildale-core/src/swarm/mod.rs
@@ -1,15 +1,16 @@
-//! How one agent brings weights to its target.
+//! Distribution of weights from the origin and other agents to one target.
 //!
-//! [`Swarm`] is the reducer of an agent that stands beside a target which
-//! takes staged chunks and an order to load them: events and the time go in,
-//! [`Effect`]s come out.
+//! [`Swarm`] is the reducer of an agent whose target accepts staged chunks and
+//! an order to load them. It takes events together with the current time and
+//! returns [`Effect`]s.
 //!
-//! * [`sources`]: who is asked for a chunk.
-//! * [`version`]: what is held of one version.
-//! * [`queue_delay`]: how long what comes in waits before the link.
-//! * [`window`]: how many transfers run at once.
-//! * [`swap`]: when the target changes over, so that the fleet keeps its
-//!   capacity.
+//! * [`sources`]: selects the source of each chunk.
+//! * [`version`]: the chunks held and transfers active for one version.
+//! * [`queue_delay`]: estimates the queueing delay of the inbound link.
+//! * [`window`]: limits the number of concurrent transfers.
+//! * [`tree`]: distribution trees inside a large data centre.
+//! * [`swap`]: schedules when the target changes to a new version, so that the
+//!   fleet keeps enough capacity.
 
 pub mod digest;
 pub mod queue_delay;
--- a/crates/raildale-core/src/swarm/queue_delay.rs
+++ b/crates/raildale-core/src/swarm/queue_delay.rs
@@ -1,33 +1,35 @@
-//! How long what comes to an agent waits in the queue of its link.
+//! Estimates the queueing delay of an agent's inbound link.
 //!
-//! Chunks of weights and requests to the target come in by one link. Chunks
-//! come in slices, each with the time of its sending: how much longer one took
-//! than the quickest of its sender is the queue that it stood in, whatever the
-//! clocks are. Datagrams do not tell: some networks let them past a queue.
+//! Chunks of weights and requests to the target share one inbound link. Chunks
+//! arrive in slices, each stamped with its sending time. The transit time of a
+//! slice minus the shortest transit time from the same sender is its queueing
+//! delay; a constant clock offset cancels out. Datagrams are unsuitable as
+//! probes because some networks let them bypass a queue.
 
 use std::{collections::HashMap, net::IpAddr};
 
-/// What an agent knows of the queue before its link.
+/// The queueing delay of an agent's inbound link, estimated from received
+/// slices.
 #[derive(Clone, Debug, Default)]
 pub struct QueueDelay {
     senders: HashMap<IpAddr, Sender>,
-    /// The slices of late, oldest first.
+    /// Recently received slices, oldest first.
     recent: Vec<Slice>,
 }
 
-/// An agent whose slices come.
+/// The timing state of one sending agent.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
-    /// When its last slice left, on its own clock.
+    /// The sending time of its last slice, on its own clock.
     sent_ms: u64,
-    /// From leaving to coming, of its quickest slice, as a difference of two
-    /// clocks.
+    /// The shortest transit time of its slices. Includes the offset between
+    /// the two clocks, so it may be negative.
     quickest_ms: i64,
-    /// When its last slice came.
+    /// When its last slice was received.
     came_ms: u64,
 }
 
-/// A slice that has come.
+/// A received slice.
 #[derive(Clone, Copy, Debug)]
 struct Slice {
     at_ms: u64,
@@ -35,31 +37,31 @@
     delay_ms: u64,
 }
 
-/// Slices that are looked at together, in milliseconds: on a link of 1.2
-/// Mbit/s one of 8 KiB comes every 55 ms.
+/// The length of the time window whose slices are evaluated together, in
+/// milliseconds. On a link of 1.2 Mbit/s a slice of 8 KiB arrives every 55 ms.
 const RECENT_MS: u64 = 200;
 
-/// What slices told counts for this long, in milliseconds: the queue is empty
-/// soon after the last one.
+/// How long an estimate stays valid after the last slice, in milliseconds. The
+/// queue drains soon after the last slice.
 const FRESH_MS: u64 = 800;
 
-/// A sender that has been silent for this long is forgotten, in milliseconds:
-/// the way to it may be another one by its next slice.
+/// A sender is removed after this many milliseconds without a slice, because
+/// the network path to it may change in the meantime.
 const FORGET_MS: u64 = 4_000;
 
 impl QueueDelay {
-    /// Nothing known.
+    /// Creates an estimator without samples.
     pub fn new() -> QueueDelay {
         QueueDelay::default()
     }
 
-    /// Takes in that a slice that left at `sent_ms`, on its sender's clock,
-    /// has come.
+    /// Records the arrival of a slice that was sent at `sent_ms` on its
+    /// sender's clock.
     pub fn note(&mut self, now_ms: u64, from: IpAddr, sent_ms: u64) {
         self.forget(now_ms);
         let took_ms = now_ms as i64 - sent_ms as i64;
         let known = self.senders.get(&from).copied();
-        // An earlier time of sending is that of another start.
+        // A decreasing sending time means that the sender has restarted.
         let same = known.filter(|sender| sender.sent_ms <= sent_ms);
         let quickest_ms =
             same.map_or(took_ms, |sender| sender.quickest_ms.min(took_ms));
@@ -69,9 +71,11 @@
         self.recent.push(Slice { at_ms: now_ms, from, delay_ms });
     }
 
-    /// Milliseconds that what comes now has waited before the link: the least
-    /// of the slices of late. With one sender alone it is not known: its own
-    /// link may be the slow one.
+    /// Returns the current queueing delay of the link in milliseconds: the
+    /// smallest delay among the recent slices.
+    ///
+    /// Returns 0 if there are no recent slices, or if they all come from one
+    /// sender: the delay may then be caused by the sender's own link.
     pub fn ms(&self, now_ms: u64) -> u64 {
         let Some(last) = self.recent.last() else { return 0 };
         if now_ms > last.at_ms + FRESH_MS {
--- a/crates/raildale-core/src/swarm/reducer/arrivals.rs
+++ b/crates/raildale-core/src/swarm/reducer/arrivals.rs
@@ -1,4 +1,4 @@
-//! Manifests and chunks that came, or did not.
+//! Received manifests and chunks, and failed transfers.
 
 use bytes::Bytes;
 
@@ -13,7 +13,8 @@
     },
 };
 
-/// Mismatches straight from the origin after which the manifest is doubted.
+/// The number of consecutive digest mismatches in chunks from the origin after
+/// which the manifest is treated as corrupt, if no chunk is held.
 const DOUBT_MANIFEST: u32 = 3;
 
 impl Swarm {
@@ -49,9 +50,9 @@
         self.keep_found(now_ms, version, effects);
     }
 
-    /// Adapts the window to how long a transfer took. The origin's own link
-    /// is shared by all agents: how long it takes says nothing of the link
-    /// here.
+    /// Adapts the window to the duration of a transfer. Transfers from the
+    /// origin are ignored: all agents share its link, so their duration says
+    /// nothing about the local link.
     pub(super) fn note_pace(
         &mut self,
         source: Source,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Notes that a chunk did not come or, without an `error`, that what came
-    /// does not match its digest.
+    /// Records a failed transfer of a chunk, or a digest mismatch if `error`
+    /// is `None`.
     fn chunk_failed(
         &mut self,
         now_ms: u64,
@@ -121,7 +122,7 @@
         if held.origin_mismatches >= DOUBT_MANIFEST && held.held() == 0 {
             held.digests = None;
             held.origin_mismatches = 0;
-            // Whoever gave it is not the first to be asked again.
+            // Makes another source the first choice for the next manifest.
             held.manifest.failures = TRIES_PER_SOURCE;
             let detail = format!("version={version}");
             effects.push(Effect::Log(LogEvent::ManifestMismatch, detail));
--- a/crates/raildale-core/src/swarm/reducer/change_over.rs
+++ b/crates/raildale-core/src/swarm/reducer/change_over.rs
@@ -1,4 +1,4 @@
-//! Staging what is held whole, and the target's change-over to it.
+//! Stages complete versions and changes the target over to them.
 
 use super::{
     Effect, OrderGuard, OrderOutcome, RETRY_PAUSE_MOST_MS, RETRY_PAUSE_MS,
@@ -14,15 +14,16 @@
     },
 };
 
-/// Chunks staged longer ago than this are staged anew before the order: what
-/// lies in the target may turn bad.
+/// Chunks that were staged longer ago than this are staged again before the
+/// order, in milliseconds: staged data may become corrupt in the target.
 const STAGED_FRESH_MS: u64 = 2_000;
 
-/// An order that shows no effect by then is given again.
+/// An order that shows no effect within this time is given again, in
+/// milliseconds.
 const LOAD_TIMEOUT_MS: u64 = 4_000;
 
 impl Swarm {
-    /// Asks which start of the target is up, if that is in doubt.
+    /// Queries which start of the target is running, if that is uncertain.
     pub(super) fn ask_start(
         &mut self,
         now_ms: u64,
@@ -86,15 +87,17 @@
         }
     }
 
-    /// Whether the target has started anew since it was last heard, under the
-    /// same name or another.
+    /// Returns whether the reported start time has changed since the last
+    /// report: the target has restarted, whether or not its start id is a new
+    /// one.
     fn is_born_again(&self, state: TargetState) -> bool {
         let known_ms = self.last_born_ms;
         state.is_up && known_ms.is_some() && state.born_ms != known_ms
     }
 
-    /// The target holds and knows nothing of before. An order without an
-    /// answer names its name all the same, and stays open.
+    /// Handles a restart, after which nothing is staged in the target. An
+    /// unanswered order may still match the target's state and be carried out,
+    /// so it stays open.
     fn begin_anew(
         &mut self,
         now_ms: u64,
@@ -110,7 +113,8 @@
         effects.push(Effect::Log(LogEvent::TargetStarted, detail));
     }
 
-    /// Writes a line if the target has begun an order that no answer told of.
+    /// Logs an order that the target has begun without an answer that reported
+    /// it.
     fn tell_unexpected_order(
         &self,
         state: TargetState,
@@ -128,8 +132,9 @@
         effects.push(Effect::Log(LogEvent::UnexpectedOrder, detail));
     }
 
-    /// Takes in how many orders the target has begun: one that got no answer
-    /// may have been carried out, and then no other can be.
+    /// Records the number of orders that the target has begun. If it has
+    /// grown, an order without an answer may have been carried out, and no
+    /// other order with that count can be.
     fn note_orders(&mut self, now_ms: u64, state: TargetState) {
         let known = self.target.orders;
         if !state.is_up || state.orders < known {
@@ -201,8 +206,8 @@
         };
         self.not_before_ms = now_ms + pause_ms;
         let served = self.target.serves_version;
-        // An order that may be carried out yet is given again until it has
-        // been: nothing else may lie staged before that.
+        // An order that may still be carried out is repeated until it has
+        // been: nothing else may be staged before that.
         self.phase = match self.orders.open_version(served) {
             Some(_) => SwapPhase::Draining { version, since_ms, staging },
             None => SwapPhase::Idle,
@@ -235,7 +240,7 @@
         if is_stale || is_early || self.is_staging {
             return;
         }
-        // What an order in doubt names may be staged anew all the same.
+        // The version of an open order may be staged again in any case.
         let is_open = self.orders.open_version(served).is_some();
         if !is_open && !self.orders.is_start_sure() {
             return;
@@ -256,7 +261,7 @@
         self.stage(coming, effects);
     }
 
-    /// The version to change over to, if it is held whole.
+    /// Returns the version to change over to, if all of its chunks are held.
     fn coming_version(&self, now_ms: u64) -> Option<u64> {
         let whole =
             |version: &Version| version.is_whole().then_some(version.number);
@@ -269,7 +274,8 @@
         }
     }
 
-    /// When this target's turn for the oldest outstanding version comes.
+    /// Returns when this target's turn for the oldest outstanding version
+    /// begins.
     fn turn_ms(&self, served: u64, coming: u64) -> u64 {
         let (rank, count) = self.sources.rank();
         let held = self.versions.get(&coming);
@@ -283,8 +289,8 @@
             .unwrap_or(0)
     }
 
-    /// Stages a version; never while another staging runs, whose chunks could
-    /// replace those of this one.
+    /// Stages a version. Must not be called while another staging is active,
+    /// whose chunks could overwrite those of this one.
     fn stage(&mut self, version: u64, effects: &mut Vec<Effect>) {
         let chunks = self.versions.get(&version).and_then(Version::chunks);
         if let Some(chunks) = chunks {
--- a/crates/raildale-core/src/swarm/reducer/found.rs
+++ b/crates/raildale-core/src/swarm/reducer/found.rs
@@ -1,9 +1,9 @@
-//! What an earlier agent left staged.
+//! Chunks that an earlier agent left staged in the target.
 //!
-//! An agent that starts anew does not know what the one before it ordered.
-//! An order that is still on its way names what lies staged, so that is
-//! ordered first if it is newer than what the target serves. It is also a
-//! source of chunks that need not cross the network again.
+//! A restarted agent does not know which orders its predecessor sent. An order
+//! that is still in transit loads whatever is staged, so the staged version is
+//! ordered first if it is newer than the served one. The staged chunks also
+//! need not be transferred over the network again.
 
 use std::{collections::BTreeMap, ops::Range};
 
@@ -12,31 +12,31 @@
 use super::{Effect, RETRY_PAUSE_MOST_MS, Swarm};
 use crate::{log_event::LogEvent, swarm::version::Version};
 
-/// How long an agent holds back for what lies staged while it cannot read,
-/// tell or complete it, in milliseconds: as long as a whole fill takes.
+/// How long an agent defers orders while it cannot read, identify or complete
+/// the staged chunks, in milliseconds: the duration of a whole fill.
 const HOLD_BACK_MS: u64 = 4_000;
 
-/// Versions before the newest one that may lie staged: an agent that cannot
-/// get its target to load one for its whole bound of 8 s sees three more at
-/// the most frequent naming known, one in 2.8 s.
+/// The maximum number of versions before the newest one that may be staged. An
+/// agent that fails to get its target to load a version within its whole bound
+/// of 8 s sees three more versions at the highest known rate of one in 2.8 s.
 const SOUGHT_MOST: u64 = 3;
 
-/// What lay staged when the agent began.
+/// The chunks that were staged when the agent started.
 #[derive(Debug)]
 pub(super) enum Found {
     /// Not read yet.
     Unread {
-        /// Not to be read before this.
+        /// The staging area is not read before this time.
         read_from_ms: u64,
-        /// When it was tried first.
+        /// When reading was first attempted.
         tried_ms: Option<u64>,
     },
-    /// It is being read.
+    /// The read is in progress.
     Asked {
-        /// When it was tried first.
+        /// When reading was first attempted.
         tried_ms: u64,
     },
-    /// It was read, and nothing was staged or ordered since.
+    /// Read, with no order taken and no other version staged since.
     Read(FoundChunks),
     /// No order of an earlier agent can be carried out any more.
     Settled,
@@ -48,30 +48,31 @@
     }
 }
 
-/// Chunks that lay staged.
+/// Chunks that were staged when the agent started.
 #[derive(Debug)]
 pub(super) struct FoundChunks {
     /// When they were read.
     read_ms: u64,
-    /// Those of no version known so far, with their places.
+    /// Chunks that match no version known so far, with their indices.
     unknown: Vec<(u32, Bytes)>,
-    /// Chunks of each version.
+    /// The number of matching chunks, by version.
     known: BTreeMap<u64, usize>,
 }
 
-/// What the next order may be for.
+/// The versions that the next order may name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextOrder {
-    /// Nothing yet.
+    /// No order may be sent yet.
     Nothing,
-    /// This version alone.
+    /// Only this version.
     Only(u64),
     /// Any version.
     Any,
 }
 
 impl Swarm {
-    /// Reads what lies staged, once.
+    /// Reads the staged chunks, if that has not been done and the target is
+    /// up.
     pub(super) fn read_found(
         &mut self,
         now_ms: u64,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Keeps those chunks found that belong to a version.
+    /// Adds the staged chunks that match a version's digests to the version.
     pub(super) fn keep_found(
         &mut self,
         now_ms: u64,
@@ -135,8 +136,8 @@
         }
     }
 
-    /// The version that lies staged, if an earlier agent may have ordered it
-    /// and the target does not serve it yet.
+    /// Returns the newer version to which most staged chunks belong, if the
+    /// target does not serve it yet. An earlier agent may have ordered it.
     pub(super) fn found_version(&self) -> Option<u64> {
         let Found::Read(found) = &self.found else { return None };
         let served = self.target.serves_version;
@@ -148,7 +149,8 @@
             .map(|(version, _)| *version)
     }
 
-    /// Versions whose manifests are sought only to tell what lies staged.
+    /// Returns the versions whose manifests are fetched only to identify
+    /// staged chunks.
     pub(super) fn sought_manifests(&self) -> Range<u64> {
         let wanted = self.wanted();
         let first = wanted.saturating_sub(SOUGHT_MOST);
@@ -159,7 +161,7 @@
         }
     }
 
-    /// What the next order may be for.
+    /// Returns which versions the next order may name.
     pub(super) fn next_order(&self, now_ms: u64) -> NextOrder {
         let served = self.target.serves_version;
         if let Some(version) = self.orders.open_version(served) {
@@ -195,8 +197,8 @@
         self.versions.get(&version).is_some_and(Version::is_whole)
     }
 
-    /// Whether every version that may lie staged and be ordered is known:
-    /// what belongs to none of them is spoilt or older.
+    /// Returns whether the manifests of all versions that may be staged and
+    /// ordered are known. Chunks that match none of them are corrupt or older.
     fn is_told_apart(&self) -> bool {
         let wanted = self.wanted();
         let is_known = |version: u64| {
@@ -208,7 +210,8 @@
 }
 
 impl FoundChunks {
-    /// Moves the chunks that match a version's digests there; their places.
+    /// Moves the chunks that match the version's digests to the version, and
+    /// returns their indices.
     fn move_to(&mut self, held: &mut Version) -> Vec<u32> {
         let mut kept = Vec::new();
         self.unknown.retain(|(index, data)| {
--- a/crates/raildale-core/src/swarm/reducer/messages.rs
+++ b/crates/raildale-core/src/swarm/reducer/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the reducer and comes out of it.
+//! Events and effects of the reducer.
 
 use bytes::Bytes;
 
@@ -13,168 +13,174 @@
     },
 };
 
-/// Names a question that another agent has asked.
+/// Identifies a pending request of another agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What can be asked for.
+/// An item that can be requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Item {
     /// The digests of a version's chunks.
     Manifest,
-    /// A chunk.
+    /// The chunk with this index.
     Chunk(u32),
 }
 
-/// Why a transfer came to nothing.
+/// Why a transfer failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchError {
-    /// The source does not hold it.
+    /// The source does not hold the item.
     Absent,
-    /// No connection, no answer, or one that broke off.
+    /// The connection failed or broke, or there was no answer.
     Lost,
 }
 
-/// What the target tells its agent.
+/// The state that the target reports to its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetState {
-    /// Whether it answers.
+    /// Whether it responds.
     pub is_up: bool,
-    /// The version that it serves whole; 0 if none.
+    /// The version that it serves completely; 0 if none.
     pub serves_version: u64,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait in it.
+    /// The number of requests in its queue.
     pub queued: u32,
-    /// How slow it is, 1 being its published pace.
+    /// Its slowdown relative to its published pace; 1 is the published pace.
     pub pace: f64,
-    /// Orders that it has begun since its start.
+    /// The number of orders that it has begun since its start.
     pub orders: u64,
-    /// When it started, in Unix milliseconds, if it tells.
+    /// When it started, in Unix milliseconds; `None` if it does not report
+    /// this.
     pub born_ms: Option<u64>,
-    /// What its answer says of it.
+    /// The notice in its answer.
     pub notice: TargetNotice,
 }
 
-/// Which start of the target is meant: each start has an id of its own.
+/// Identifies a start of the target. Each start has its own id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetStart {
-    /// The one of this id.
+    /// The start with this id.
     Named(Name),
-    /// Targets of this service do not tell.
+    /// Targets of this service do not report a start id.
     Untold,
-    /// It did not answer.
+    /// The target did not answer.
     Lost,
 }
 
-/// What an order relies on: in any other state the target refuses it.
+/// The condition under which the target accepts an order. It refuses the order
+/// in any other state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderGuard {
-    /// The id of the target's start; `None` if targets do not tell it.
+    /// The id of the target's start; `None` if targets do not report one.
     pub start: Option<Name>,
-    /// Orders that this start has begun before.
+    /// The number of orders that this start has begun before.
     pub orders: u64,
 }
 
-/// What came of an order to the target.
+/// The outcome of an order to the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It began, or was done before.
+    /// The target began the order, or had carried it out before.
     Taken,
     /// The target refused it, or it was never sent.
     Refused,
-    /// Another start of the target has the address.
+    /// Another start of the target uses the address.
     Misdirected,
-    /// No answer came: the target may have taken it, or may take it yet.
+    /// No answer was received: the target may have carried out the order, or
+    /// may do so later.
     Unanswered,
 }
 
-/// What happens to an agent.
+/// An input to the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Weights of the service are spread in this many chunks.
+    /// The layout of the service's weights.
     Layout {
-        /// Chunks of a version.
+        /// The number of chunks of a version.
         chunk_count: u32,
-        /// Whether what runs may be cut and go on elsewhere.
+        /// Whether running requests may be cut and resumed at another target.
         may_cut: bool,
-        /// Connections that the origin accepts from all agents together.
+        /// The maximum number of connections that the origin accepts from all
+        /// agents together.
         origin_connections: u32,
     },
-    /// A version was named.
+    /// A version was named as the one to serve.
     Named {
-        /// Its number.
+        /// The version number.
         version: u64,
-        /// When, on this process's clock.
+        /// When it was named, on this process's clock.
         named_ms: u64,
     },
     /// The list of live agents.
     Peers(Vec<Peer>),
-    /// A manifest came, or did not.
+    /// A manifest transfer ended.
     Manifest {
         /// The version.
         version: u64,
-        /// Who was asked.
+        /// The source of the transfer.
         source: Source,
-        /// The chunks' digests.
+        /// The digests of the chunks, in order.
         result: Result<Vec<WeightDigest>, FetchError>,
     },
-    /// A chunk came, or did not.
+    /// A chunk transfer ended.
     Chunk {
         /// The version.
         version: u64,
-        /// The chunk's place.
+        /// The index of the chunk.
         index: u32,
-        /// Who was asked.
+        /// The source of the transfer.
         source: Source,
-        /// Its bytes, unchecked.
+        /// The unverified bytes of the chunk.
         result: Result<Bytes, FetchError>,
-        /// Milliseconds from the question to the last byte, without the time
-        /// that whoever was asked had to wait for it.
+        /// The time from the request to the last byte in milliseconds, without
+        /// the time that the source needed to obtain the chunk.
         took_ms: u64,
     },
-    /// What lay in the target's staging when the agent began.
+    /// The staging area of the target was read after the agent started.
     StagingRead {
-        /// The chunks found, unchecked; `None` if it could not be read.
+        /// The unverified chunks with their indices; `None` if the staging
+        /// area could not be read.
         chunks: Option<Vec<(u32, Bytes)>>,
     },
-    /// Which start of the target is up.
+    /// The target's current start.
     Start(TargetStart),
-    /// The target told of itself.
+    /// The target reported its state.
     Target(TargetState),
-    /// How long what comes in waits before the own link, in milliseconds.
+    /// The queueing delay of the inbound link, in milliseconds.
     QueueDelay(u64),
-    /// Staging has ended.
+    /// Staging ended.
     Staged {
         /// The version.
         version: u64,
-        /// Whether every chunk lies there.
+        /// Whether every chunk is staged.
         is_done: bool,
     },
-    /// What came of an order.
+    /// The outcome of an order.
     Ordered {
-        /// What the order relied on.
+        /// The guard of the order.
         guard: OrderGuard,
-        /// What came of it.
+        /// The outcome.
         outcome: OrderOutcome,
     },
-    /// Another agent asks for an item.
+    /// Another agent requests an item.
     Asked {
-        /// Names the question.
+        /// Identifies the request.
         ticket: Ticket,
         /// The version.
         version: u64,
-        /// What is asked for.
+        /// The requested item.
         item: Item,
-        /// Agents that the question has passed.
+        /// The number of agents that the request has passed.
         hops: u32,
     },
-    /// Time has passed.
+    /// A timer tick.
     Tick,
 }
 
 impl Event {
-    /// The transfer of an item that broke off, or did not begin.
+    /// Returns the event for the transfer of an item that broke or could not
+    /// be started.
     pub fn lost(version: u64, item: Item, source: Source) -> Event {
         match item {
             Item::Manifest => {
@@ -189,60 +195,61 @@
     }
 }
 
-/// What the shell is to do.
+/// An action for the caller of the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Ask for an item.
+    /// Fetch an item.
     Fetch {
         /// The version.
         version: u64,
-        /// What is asked for.
+        /// The requested item.
         item: Item,
-        /// Whom to ask.
+        /// The source of the transfer.
         source: Source,
-        /// Agents that the question has passed.
+        /// The number of agents that the request has passed.
         hops: u32,
     },
-    /// Answer a question.
+    /// Answer a request of another agent.
     Answer {
-        /// Names the question.
+        /// Identifies the request.
         ticket: Ticket,
-        /// The item.
+        /// The content of the answer.
         content: Content,
     },
-    /// Read what lies in the target's staging.
+    /// Read the target's staging area.
     ReadStaging,
-    /// Ask which start of the target is up.
+    /// Query which start of the target is running.
     AskStart,
-    /// Put all chunks into the target's staging.
+    /// Put all chunks into the target's staging area.
     Stage {
         /// The version.
         version: u64,
-        /// Its chunks, in order.
+        /// The chunks, in order.
         chunks: Vec<Bytes>,
     },
-    /// Order the target to load what lies staged.
+    /// Order the target to load the staged chunks.
     Order {
         /// The version.
         version: u64,
-        /// What becomes of what runs.
+        /// How running requests are treated.
         method: LoadMethod,
-        /// What it relies on.
+        /// The condition under which the target accepts the order.
         guard: OrderGuard,
     },
-    /// Tell the entry hosts now, not at the next regular time.
+    /// Report to the entry hosts immediately instead of at the next regular
+    /// time.
     Report,
     /// Write a log line.
     Log(LogEvent, String),
 }
 
-/// The answer to a question.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// The chunks' digests.
+    /// The digests of the chunks, in order.
     Manifest(Vec<WeightDigest>),
-    /// A chunk's bytes.
+    /// The bytes of a chunk.
     Chunk(Bytes),
-    /// It is not to be had here.
+    /// The item is not available here.
     Absent,
 }
--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -1,12 +1,13 @@
-//! The agent's reducer: events in, effects out.
+//! The agent's reducer, which turns events into effects.
 //!
-//! * [`messages`]: the events, the effects and what they carry.
-//! * `arrivals`: manifests and chunks that came, or did not.
-//! * `transfers`: which transfers start, from whom, and for how long.
-//! * `questions`: what other agents ask for.
-//! * `change_over`: staging, and the target's change-over.
+//! * [`messages`]: the events, the effects and their contents.
+//! * `arrivals`: received manifests and chunks, and failed transfers.
+//! * `transfers`: which transfers start, from which source, and their
+//!   time-outs.
+//! * `requests`: requests of other agents for items.
+//! * `target_swap`: staging, and the target's change-over.
 //! * `orders`: which orders the target may still carry out.
-//! * `found`: what an earlier agent left staged.
+//! * `prior_staging`: chunks that an earlier agent left staged.
 
 use std::{collections::BTreeMap, net::IpAddr};
 
@@ -33,16 +34,16 @@
     TargetStart, TargetState, Ticket,
 };
 
-/// What an agent is told at its start.
+/// The start-up configuration of an agent.
 #[derive(Clone, Debug)]
 pub struct SwarmConfig {
     /// Its own address.
     pub ip: IpAddr,
-    /// The data centre that it stands in.
+    /// The data centre in which it runs.
     pub data_centre: Name,
-    /// Transfers at once.
+    /// The maximum number of concurrent transfers.
     pub parallel: usize,
-    /// Times of a change-over.
+    /// Timing of a change-over.
     pub swap: SwapConfig,
 }
 
@@ -55,40 +56,41 @@
     may_cut: bool,
     origin_connections: usize,
     window: Window,
-    /// How long what comes in waits before the own link, in milliseconds.
+    /// The queueing delay of the inbound link, in milliseconds.
     queue_ms: u64,
-    /// When each version was named, by its number.
+    /// When each version was named, by version number.
     named: BTreeMap<u64, u64>,
-    /// What is held of each version, by its number.
+    /// The state of each version, by version number.
     versions: BTreeMap<u64, Version>,
     target: TargetState,
-    /// When the target last told that it started.
+    /// The last start time that the target reported.
     last_born_ms: Option<u64>,
     orders: Orders,
     found: Found,
     phase: SwapPhase,
     /// Whether chunks are being staged.
     is_staging: bool,
-    /// No change-over begins before this.
+    /// No change-over begins, and no order is sent, before this time.
     not_before_ms: u64,
     /// When the progress of a version was last logged.
     progress_told_ms: u64,
 }
 
-/// Pause before something that failed is tried again, in milliseconds.
+/// The base pause before a retry, in milliseconds. For transfers it doubles
+/// with each failure.
 const RETRY_PAUSE_MS: u64 = 30;
 
-/// A version without a new chunk for this long is stalled, in milliseconds:
-/// on the users' links a chunk comes every 42 ms, and on a squeezed one of
-/// 1.2 Mbit/s every 330 ms.
+/// A version is stalled after this many milliseconds without a new chunk. A
+/// chunk arrives every 42 ms on ordinary links, and every 330 ms on a link
+/// limited to 1.2 Mbit/s.
 const STALLED_MS: u64 = 1_000;
 
-/// Longest pause before something that failed is tried again, in
-/// milliseconds.
+/// The maximum pause before a retry, in milliseconds.
 const RETRY_PAUSE_MOST_MS: u64 = 800;
 
 impl Swarm {
-    /// An agent that knows nothing yet.
+    /// Creates an agent without any information about the service, its peers
+    /// or its target.
     pub fn new(config: SwarmConfig) -> Swarm {
         let sources = Sources::new(config.ip, config.data_centre.clone());
         let parallel = config.parallel;
@@ -113,7 +115,7 @@
         }
     }
 
-    /// What the entry hosts are told.
+    /// Returns the report for the entry hosts.
     pub fn report(&self) -> TargetReport {
         let whole = self.versions.values().rev().find(|v| v.is_whole());
         TargetReport {
@@ -130,7 +132,8 @@
         }
     }
 
-    /// Chunks that are missing before the target can load what is wanted.
+    /// Returns the number of chunks that the target needs before it can load
+    /// the wanted version; 0 if it serves that version already.
     fn missing_chunks(&self) -> u32 {
         let wanted = self.wanted();
         if self.target.serves_version >= wanted {
@@ -140,13 +143,14 @@
         self.chunk_count.saturating_sub(held) as u32
     }
 
-    /// Whether nothing is under way.
+    /// Returns whether the target serves the newest version and no change-over
+    /// is active.
     pub fn is_calm(&self) -> bool {
         self.target.serves_version >= self.wanted()
             && self.phase == SwapPhase::Idle
     }
 
-    /// Takes an event in; what is to be done is pushed to `effects`.
+    /// Handles an event and appends the resulting effects to `effects`.
     pub fn reduce(
         &mut self,
         now_ms: u64,
@@ -197,7 +201,7 @@
         self.go_on(now_ms, effects);
     }
 
-    /// The version that the target should serve.
+    /// Returns the version that the target should serve.
     fn wanted(&self) -> u64 {
         const FIRST_VERSION: u64 = 1;
         self.named.keys().next_back().copied().unwrap_or(FIRST_VERSION)
@@ -218,7 +222,8 @@
         effects.push(Effect::Log(LogEvent::SpreadJoined, detail));
     }
 
-    /// Whether a version has come no nearer to being whole for a while.
+    /// Returns whether a version is incomplete and has made no progress for
+    /// [`STALLED_MS`].
     fn is_stalled(&self, now_ms: u64, version: u64) -> bool {
         let held = self.versions.get(&version);
         held.is_some_and(|held| {
@@ -235,16 +240,16 @@
             .or_insert_with(|| Version::new(version, count))
     }
 
-    /// Drops versions older than the one served; nobody else needs them once
-    /// a newer one is served here, since all targets go the same way.
+    /// Drops versions older than the served one. No other agent needs them
+    /// once a newer version is served here, as all targets move to the same
+    /// newer versions.
     fn forget_old(&mut self) {
         let served = self.target.serves_version;
         self.versions.retain(|number, _| *number >= served);
     }
 
     fn go_on(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
-        // An agent that knows of no other would take everything from the
-        // origin.
+        // An agent without known peers would fetch everything from the origin.
         if self.chunk_count == 0 || !self.sources.is_known() {
             return;
         }
--- a/crates/raildale-core/src/swarm/reducer/orders.rs
+++ b/crates/raildale-core/src/swarm/reducer/orders.rs
@@ -1,68 +1,68 @@
-//! Which orders the target may still carry out.
+//! Tracks which orders the target may still carry out.
 //!
-//! An order that gets no answer may be carried out at any later time, and
-//! loads whatever lies staged then. Each order therefore names the start of
-//! the target that it is for and how many orders that start has begun: once
-//! another one has begun, or the target has started anew, it is refused.
-//! Until then nothing but the version that it names may lie staged.
+//! An unanswered order may be carried out at any later time, and then loads
+//! whatever is staged. Each order therefore names the start of the target for
+//! which it is intended and the number of orders that this start has begun.
+//! The target refuses it once another order has begun or the target has
+//! restarted. Until then only the version named in the order may be staged.
 
 use super::{OrderGuard, OrderOutcome, TargetStart};
 use crate::Name;
 
-/// Time between two questions which start of the target is up, if it does
-/// not tell, in milliseconds: as long as one of them may take.
+/// The minimum time between two queries of the target's start while it is not
+/// known, in milliseconds: the time that one query may take.
 const ASK_AGAIN_MS: u64 = 400;
 
-/// An order that was given.
+/// An order sent to the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Order {
-    /// The version that it names.
+    /// The version to load.
     pub version: u64,
-    /// What it relies on.
+    /// The condition under which the target accepts it.
     pub guard: OrderGuard,
 }
 
-/// What is known of the target's present start.
+/// What is known about the target's current start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Knowledge {
-    /// It may be another one than before.
+    /// It may differ from the known one.
     Doubtful {
-        /// Not to be asked for before this.
+        /// The target is not queried before this time.
         ask_from_ms: u64,
     },
-    /// The target was asked.
+    /// A query is in progress.
     Asked,
-    /// The id told is that of the present start.
+    /// The known id is that of the current start.
     Sure,
 }
 
-/// What an answer about the target's start means.
+/// The change that an answer about the target's start shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartNews {
-    /// Nothing came, or the start is the one known.
+    /// No usable answer, or the start is the known one.
     Nothing,
-    /// The first one that this agent hears of.
+    /// The first start known to this agent.
     First,
-    /// It is another one than before.
+    /// The target has restarted.
     Another,
 }
 
-/// The orders that this agent gave.
+/// The orders of this agent, and the start of the target to which they apply.
 #[derive(Debug)]
 pub(super) struct Orders {
     knowledge: Knowledge,
-    /// Whether a start was ever told of.
+    /// Whether any answer about the start has been received.
     is_told: bool,
-    /// The id of the last start told of.
+    /// The id of the last known start.
     start: Option<Name>,
-    /// The one whose answer is awaited.
+    /// The order whose answer is pending.
     sent: Option<Order>,
-    /// One that got no answer, and may be carried out yet.
+    /// An unanswered order that may still be carried out.
     open: Option<Order>,
 }
 
 impl Default for Orders {
-    /// No order was given, and no start is known.
+    /// No order, and no known start.
     fn default() -> Orders {
         Orders {
             knowledge: Knowledge::Doubtful { ask_from_ms: 0 },
@@ -75,14 +75,15 @@
 }
 
 impl Orders {
-    /// The target may have started anew.
+    /// Marks the start as uncertain because the target may have restarted.
     pub fn doubt_start(&mut self) {
         if self.knowledge == Knowledge::Sure {
             self.knowledge = Knowledge::Doubtful { ask_from_ms: 0 };
         }
     }
 
-    /// Whether the target is to be asked now which start is up.
+    /// Returns whether to query the target's start now. If so, the query is
+    /// recorded as being in progress.
     pub fn ask_start(&mut self, now_ms: u64) -> bool {
         match self.knowledge {
             Knowledge::Doubtful { ask_from_ms } if now_ms >= ask_from_ms => {
@@ -93,13 +94,14 @@
         }
     }
 
-    /// Takes in which start is up. Orders for another one are void.
+    /// Records which start is running. A new start invalidates orders for the
+    /// previous one.
     pub fn note_start(&mut self, now_ms: u64, told: TargetStart) -> StartNews {
         let start = match told {
             TargetStart::Named(id) => Some(id),
             TargetStart::Untold if self.start.is_none() => None,
-            // Targets that tell their starts do not cease to: this one did
-            // not come to answer.
+            // A target that has reported a start id keeps doing so; an answer
+            // without one means that the target could not respond.
             TargetStart::Untold | TargetStart::Lost => {
                 let ask_from_ms = now_ms + ASK_AGAIN_MS;
                 self.knowledge = Knowledge::Doubtful { ask_from_ms };
@@ -110,7 +112,7 @@
         let news = match &self.start {
             _ if !self.is_told => StartNews::First,
             _ if start == self.start => StartNews::Nothing,
-            // It may have been up before it told its id.
+            // The same start may have run before it reported its id.
             None => StartNews::First,
             Some(_) => StartNews::Another,
         };
@@ -124,21 +126,21 @@
         news
     }
 
-    /// What an order can rely on now, if the target has begun `orders`;
-    /// `None` if no order can be given.
+    /// Returns the guard for a new order when the target has begun `orders`
+    /// orders; `None` if no order can be sent now.
     pub fn guard(&self, orders: u64) -> Option<OrderGuard> {
         let is_free = self.is_start_sure() && self.sent.is_none();
         is_free.then(|| OrderGuard { start: self.start.clone(), orders })
     }
 
-    /// An order goes out.
+    /// Records that an order is being sent.
     pub fn note_sent(&mut self, order: Order) {
         self.sent = Some(order);
     }
 
-    /// Takes in what came of the order that relied on `guard`, while the
-    /// target has begun `orders`. `None` if nothing is to be done about it
-    /// any more.
+    /// Records the outcome of the order that was sent with `guard`, when the
+    /// target has begun `orders` orders. Returns the order; `None` if it is no
+    /// longer pending.
     pub fn note_outcome(
         &mut self,
         guard: &OrderGuard,
@@ -156,34 +158,35 @@
         Some(order)
     }
 
-    /// The target started anew: the answer that is awaited may never come, and
-    /// its order may be carried out yet.
+    /// Treats the pending order as unanswered because the target has
+    /// restarted: its answer may never arrive, and it may still be carried
+    /// out.
     pub fn note_lost_answer(&mut self) {
         if let Some(sent) = self.sent.take() {
             self.open = Some(sent);
         }
     }
 
-    /// Takes in how many orders the target has begun. The version of an open
-    /// order that can no longer be carried out, since it or its repetition
-    /// was.
+    /// Records the number of orders that the target has begun. Returns the
+    /// version of an open order that can no longer be carried out, because it
+    /// or its repetition has been.
     pub fn note_count(&mut self, orders: u64) -> Option<u64> {
         let is_past = |order: &mut Order| orders > order.guard.orders;
         let open = self.open.take_if(is_past)?;
-        // Its repetition has been refused by now, or is what was carried
-        // out.
+        // Its repetition has been refused by now, or is the order that was
+        // carried out.
         self.sent.take_if(is_past);
         Some(open.version)
     }
 
-    /// The version of an order that may be carried out yet and would change
-    /// what the target serves.
+    /// Returns the version of an open order that would change what the target
+    /// serves.
     pub fn open_version(&self, served: u64) -> Option<u64> {
         let open = self.open.as_ref()?;
         (open.version > served).then_some(open.version)
     }
 
-    /// Whether it is known which start of the target is up.
+    /// Returns whether the current start of the target is known.
     pub fn is_start_sure(&self) -> bool {
         self.knowledge == Knowledge::Sure
     }
--- a/crates/raildale-core/src/swarm/reducer/questions.rs
+++ b/crates/raildale-core/src/swarm/reducer/questions.rs
@@ -1,10 +1,10 @@
-//! Questions of other agents, and who waits for which item.
+//! Requests of other agents for items, and the requests waiting for each item.
 
 use super::{Content, Effect, Item, Swarm, Ticket};
 use crate::swarm::version::{Version, Waiter};
 
-/// How long a question waits for an item that is being fetched: less than
-/// the asker's patience.
+/// How long a request waits for an item that is being fetched, in
+/// milliseconds: less than the time-out of the requesting agent.
 const WAITER_TIMEOUT_MS: u64 = 1_200;
 
 impl Swarm {
@@ -18,8 +18,8 @@
         effects: &mut Vec<Effect>,
     ) {
         if self.chunk_count == 0 || self.is_past(version) {
-            // Not told yet how many chunks there are, or of no use here any
-            // more: others know more.
+            // The number of chunks is not known yet, or the version is no
+            // longer of use here; other agents may have the item.
             let content = Content::Absent;
             effects.push(Effect::Answer { ticket, content });
             return;
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Whether a version is older than the one served, and not held.
+    /// Returns whether a version is older than the served one and not held.
     fn is_past(&self, version: u64) -> bool {
         version < self.target.serves_version
             && !self.versions.contains_key(&version)
     }
 
-    /// Gives a chunk that has come to everybody who waits for it.
+    /// Answers all pending requests for a chunk, if it is held.
     pub(super) fn hand_out(
         &mut self,
         version: u64,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Tells those who have waited too long that the item is not to be had.
+    /// Answers requests that have waited too long with [`Content::Absent`].
     pub(super) fn expire_waiters(
         &mut self,
         now_ms: u64,
--- a/crates/raildale-core/src/swarm/reducer/transfers.rs
+++ b/crates/raildale-core/src/swarm/reducer/transfers.rs
@@ -1,4 +1,4 @@
-//! Which transfers start, from whom, and when one is given up.
+//! Selects which transfers start, from which source, and when they time out.
 
 use super::{Effect, Item, Swarm};
 use crate::{
@@ -9,44 +9,49 @@
     },
 };
 
-/// A chunk from an agent that holds it, and has not come by then, is asked
-/// for elsewhere, in milliseconds: six chunks at once take 250 ms at 9.4
-/// Mbit/s, and the sender may serve several.
+/// The time-out of a chunk from an agent that holds the whole version, in
+/// milliseconds. Six concurrent chunks take 250 ms at 9.4 Mbit/s, and the
+/// sender may serve several agents.
 const FETCH_TIMEOUT_MS: u64 = 1_200;
 
-/// The same for one that its source may have to fetch first: with the few
-/// that bring chunks in from the origin, one comes 0.2 s after it was asked
-/// for. A source that is gone is given up as soon as that is known.
+/// The time-out of a chunk that its source may have to fetch first, in
+/// milliseconds. With the few agents that fetch from the origin, such a chunk
+/// arrives 0.2 s after the request. A transfer from a source that is reported
+/// gone ends as soon as that is known.
 const WAITING_TIMEOUT_MS: u64 = 1_400;
 
-/// Transfers from the origin at once, however many connections it accepts.
+/// The maximum number of concurrent transfers from the origin, however many
+/// connections it accepts.
 const ORIGIN_PARALLEL_MOST: usize = 4;
 
-/// The share of the origin's connections that agents use: those of machines
-/// that lost power count against its bound for a while. No measurement of the
-/// figure is on record.
+/// The share of the origin's connections that agents use, in percent.
+/// Connections of machines that lost power count against the origin's limit
+/// for a while.
 const ORIGIN_SHARE_PERCENT: usize = 75;
 
-/// Transfers at once from sources that may have to wait themselves: these
-/// take no room on the link until they are answered.
+/// The maximum number of concurrent transfers from sources that may have to
+/// obtain the item first. They use no bandwidth until they are answered.
 const WAITING_MOST: usize = 10;
 
-/// The queue before the own link above which one chunk at a time comes in, in
-/// milliseconds: a third of the shortest goal of a first event, and enough to
-/// keep the link full between two answers.
+/// The queueing delay of the inbound link above which only one chunk at a time
+/// is requested, in milliseconds: a third of the shortest goal for a first
+/// event, and enough to keep the link busy between two answers.
 const QUEUE_MOST_MS: u64 = 130;
 
-/// Time between two lines on the progress of a version, in milliseconds.
+/// The minimum time between two log lines on the progress of a version, in
+/// milliseconds.
 const PROGRESS_EVERY_MS: u64 = 1_000;
 
 impl Swarm {
-    /// Starts transfers: what others wait for first, then what the target
-    /// lacks, an older version before a newer one that overtook it.
+    /// Starts transfers: first items that other agents wait for, then items
+    /// that the target needs. An older version comes before a newer one that
+    /// superseded it.
     pub(super) fn fetch(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
         let served = self.target.serves_version;
         let needed = self.needed_versions(now_ms, served);
         let sought = self.sought_manifests();
-        // What the target serves may lie staged: its agent is a source then.
+        // The chunks of the served version may be staged in the target. With
+        // its manifest the agent can identify them and is a source of them.
         let served_any = (served > 0).then_some(served);
         let known = needed.iter().copied().chain(sought.clone());
         for version in known.chain(served_any) {
@@ -56,10 +61,10 @@
         let sources = &self.sources;
         let mut starter = Starter { now_ms, sources, room, effects };
         for (number, held) in &mut self.versions {
-            // What a newer version waits for does not hold up an older one:
-            // with the origin away, 204 agents waited for chunks of the second
-            // version, and got the first one, which lay spread over all of
-            // them, 2 s later.
+            // Transfers of a newer version must not delay an older one.
+            // Otherwise, with the origin unreachable, 204 agents waited for
+            // chunks of the second version and completed the first one, which
+            // was distributed over all of them, 2 s late.
             starter.room.take_busy(held);
             let is_needed = needed.contains(number);
             if held.digests.is_some() {
@@ -74,15 +79,15 @@
         }
     }
 
-    /// Transfers that may start if none is under way but from the origin, to
-    /// which `agents` turn.
+    /// Returns the transfers that may start, counting only active transfers
+    /// from the origin, which is shared by `agents` agents.
     fn room(&self, agents: usize) -> Room {
         let from_origin: usize =
             self.versions.values().map(Version::fetches_from_origin).sum();
         let usable = self.origin_connections * ORIGIN_SHARE_PERCENT / 100;
         let most = (usable / agents.max(1)).clamp(1, ORIGIN_PARALLEL_MOST);
-        // A longer queue takes nothing more, whoever waits: requests to the
-        // target stand in it as well, and nothing in it can be called back.
+        // A longer queue must not grow, whoever waits for an item: requests to
+        // the target share it, and its contents cannot be recalled.
         let queue_most = match self.queue_ms > QUEUE_MOST_MS {
             true => 1,
             false => usize::MAX,
@@ -95,12 +100,13 @@
         }
     }
 
-    /// Versions to fetch, oldest first.
+    /// Returns the versions to fetch, oldest first.
     ///
-    /// One that was left out is finished all the same if the newest cannot be
-    /// had: its chunks mostly lie spread over the fleet by then. With the
-    /// origin away for 6 s, the targets of two versions named 2 s apart would
-    /// serve nothing from the first one's bound on.
+    /// A superseded version is fetched after all if the newest one is stalled,
+    /// as most of its chunks are distributed over the fleet by then.
+    /// Otherwise, with the origin unreachable for 6 s, the targets of two
+    /// versions named 2 s apart would serve nothing after the bound of the
+    /// first.
     fn needed_versions(&self, now_ms: u64, served: u64) -> Vec<u64> {
         let wanted = self.wanted();
         let is_stalled = self.is_stalled(now_ms, wanted);
@@ -122,10 +128,10 @@
         needed
     }
 
-    /// Whether a newer version was named so soon that it can be everywhere
-    /// within the older one's bound: the older one is then left out. All
-    /// agents decide that alike, from the times of naming alone. Else both
-    /// are fetched, the older one first.
+    /// Returns whether a newer version was named early enough to be loaded
+    /// everywhere within the bound of the older one, which is then skipped.
+    /// All agents decide this alike because it depends only on the times of
+    /// naming. Otherwise both are fetched, the older one first.
     fn is_overtaken(&self, number: u64, named_ms: u64) -> bool {
         let swap = &self.config.swap;
         let bound_ms = named_ms + swap.bound_ms;
@@ -134,7 +140,7 @@
             .any(|(_, newer_ms)| newer_ms + swap.renew_ms <= bound_ms)
     }
 
-    /// Gives transfers up that have taken too long.
+    /// Ends transfers that have timed out or whose source is unavailable.
     pub(super) fn expire_transfers(&mut self, now_ms: u64) {
         let sources = &self.sources;
         let is_over = |fetch: Fetch| {
@@ -148,7 +154,8 @@
         }
     }
 
-    /// Writes one line a second while the target lacks what it should serve.
+    /// Logs the progress of the wanted version once a second until it is
+    /// complete.
     pub(super) fn tell_progress(
         &mut self,
         now_ms: u64,
@@ -178,23 +185,23 @@
     }
 }
 
-/// Transfers that may still start.
+/// The number of transfers that may still start, by kind of source.
 #[derive(Clone, Copy, Debug)]
 struct Room {
     /// From agents that hold the whole version.
     at_once: usize,
-    /// From sources that may have to wait for it first.
+    /// From sources that may have to obtain the item first.
     waiting: usize,
-    /// The same, of items that others wait for. A window that has shrunk does
-    /// not bound these: with one at a time, an owner whose window was left at
-    /// 1 by its first fill held up its whole data centre for 2 s.
+    /// The same, for items that other agents wait for. A reduced window does
+    /// not limit these: when an owner's window had shrunk to 1 in its first
+    /// fill, one such transfer at a time delayed its whole data centre by 2 s.
     awaited: usize,
     /// From the origin.
     from_origin: usize,
 }
 
 impl Room {
-    /// Leaves out what is under way of a version.
+    /// Subtracts the active transfers of a version.
     fn take_busy(&mut self, held: &Version) {
         let take = |room: &mut usize, busy: usize| {
             *room = room.saturating_sub(busy);
@@ -209,7 +216,7 @@
     }
 }
 
-/// Starts transfers while there is room for them.
+/// Starts transfers within the remaining budget.
 #[derive(Debug)]
 struct Starter<'a> {
     now_ms: u64,
@@ -219,10 +226,10 @@
 }
 
 impl Starter<'_> {
-    /// Asks for missing chunks: those that others wait for and then, if the
-    /// target needs the version, the rest. All agents go through them in the
-    /// same order, in which the origin's owners bring them in: whoever asks
-    /// for a chunk waits for little.
+    /// Requests missing chunks: first those that other agents wait for and
+    /// then, if the target needs the version, the rest. All agents use the
+    /// same order, in which the owners fetch chunks from the origin, so that
+    /// requests wait only briefly.
     fn start_chunks(&mut self, held: &mut Version, is_needed: bool) {
         if is_needed {
             self.start_from_origin(held);
@@ -241,8 +248,8 @@
         }
     }
 
-    /// Asks the origin for the chunks that this agent brings in, whether
-    /// anybody waits for them yet or not: the origin may go away.
+    /// Requests the chunks that this agent owns from the origin, whether or
+    /// not other agents wait for them: the origin may become unreachable.
     fn start_from_origin(&mut self, held: &mut Version) {
         for index in 0..held.slots.len() {
             if self.room.from_origin == 0 {
@@ -256,8 +263,8 @@
         }
     }
 
-    /// Asks for an item unless that is under way, has to wait or has no
-    /// room.
+    /// Requests an item unless a transfer is active, a retry is pending or the
+    /// budget is exhausted.
     fn start(&mut self, held: &mut Version, item: Item) {
         let version = held.number;
         let Some(slot) = held.slot_mut(item) else { return };
@@ -280,7 +287,7 @@
         self.effects.push(Effect::Fetch { version, item, source, hops });
     }
 
-    /// Whom to ask, given the room that is left at the origin.
+    /// Selects a source, given the remaining budget for the origin.
     fn pick(
         &self,
         version: u64,
@@ -290,14 +297,15 @@
     ) -> Source {
         let source = self.sources.pick(version, item, failures, hops);
         if source == Source::Origin && self.room.from_origin == 0 {
-            // A try that only goes astray to the origin need not wait for it.
+            // A retry that would go directly to the origin need not wait for
+            // it.
             let failures = failures + TRIES_PER_SOURCE;
             return self.sources.pick(version, item, failures, hops);
         }
         source
     }
 
-    /// Takes the room of one transfer; says whether there was any.
+    /// Reserves the budget for one transfer. Returns whether any was left.
     fn take_room(
         &mut self,
         item: Item,
@@ -313,8 +321,8 @@
             return true;
         }
         if item == Item::Manifest {
-            // It is small, and without it nothing else can begin: it never
-            // waits behind the chunks of another version.
+            // A manifest is small and nothing else can start without it, so it
+            // never waits behind the chunks of another version.
             return true;
         }
         let place = match (may_wait, is_awaited) {
--- a/crates/raildale-core/src/swarm/sources.rs
+++ b/crates/raildale-core/src/swarm/sources.rs
@@ -1,38 +1,39 @@
-//! Who is asked for a chunk.
+//! Selects the source of each chunk.
 //!
-//! Whoever holds the version in the own data centre comes first. Otherwise
-//! each chunk has one agent a data centre that brings it in, and one of
-//! these brings it from the origin; all agents work that out alike from the
-//! list of live agents, without asking anybody. A tracker that hands out
-//! transfers was the product's first way; it costs a round trip a chunk,
-//! which at 48 chunks in two seconds is a tenth of the time. The list may
-//! differ between agents for a while: transfers time out and go elsewhere.
+//! Agents in the own data centre that hold the whole version are preferred.
+//! Otherwise each chunk has one owner per data centre that fetches it from
+//! outside, and one of these owners fetches it from the origin. All agents
+//! derive the owners from the list of live agents without any communication. A
+//! tracker that assigns transfers would cost a round trip per chunk, which at
+//! 48 chunks in two seconds is a tenth of the time. The lists of different
+//! agents may differ temporarily; transfers that time out are retried at
+//! another source.
 //!
-//! In a large data centre the owner of a chunk could not send it to everybody
-//! in time: chunks go down a tree there ([`super::tree`]).
+//! In a large data centre the owner of a chunk could not send it to all agents
+//! in time, so chunks are forwarded along a tree ([`super::tree`]).
 
 use std::net::IpAddr;
 
 use super::{reducer::Item, tree::Trees};
 use crate::Name;
 
-/// Another agent, as the entry hosts tell of it.
+/// Another agent, as reported by the entry hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its address.
     pub ip: IpAddr,
-    /// The data centre that it stands in.
+    /// The data centre in which it runs.
     pub data_centre: Name,
     /// The newest version of which it holds every chunk; 0 if none.
     pub whole_version: u64,
     /// The version that its target serves; 0 if none.
     pub serves_version: u64,
-    /// Whether the way to it is slow, or it is silent: nobody should wait
-    /// for what it brings in.
+    /// Whether its connection is slow or it is silent. Other agents do not
+    /// wait for chunks that it fetches.
     pub is_slow: bool,
 }
 
-/// Who is asked.
+/// The source of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// Another agent.
@@ -41,50 +42,53 @@
     Origin,
 }
 
-/// Of this many tries one goes straight to the origin. With fewer, a fleet
-/// that starts empty runs the origin out of connections: each agent then
-/// asks it for everything.
+/// One in this many tries goes directly to the origin. A smaller number
+/// exhausts the origin's connections when the whole fleet starts empty, as
+/// each agent then requests everything from the origin.
 const STRAIGHT_EVERY: u32 = 8;
 
-/// Agents of a large fleet whose lost tries may go straight to the origin at
-/// a time: its link is full with as many.
+/// The maximum number of agents of a large fleet whose retries may go directly
+/// to the origin at a time. This number saturates the origin's link.
 const STRAIGHT_MOST: usize = 8;
 
-/// Agents that bring chunks in from the origin. Its link is full with half as
-/// many, as the next one sends while one opens a connection.
+/// The maximum number of agents that fetch chunks from the origin. Half as
+/// many saturate its link; the others send while one opens a connection.
 const ORIGIN_OWNERS_MOST: usize = 8;
 
-/// Tries at one source before the next one is asked.
+/// The number of tries at one source before the next one is selected.
 pub const TRIES_PER_SOURCE: u32 = 2;
 
-/// Agents that a question passes at most before the origin is asked: the
-/// data centre's owner, and the owner of all.
+/// The maximum number of agents that a request passes before it goes to the
+/// origin: the owner in the data centre and the owner for the origin.
 const MOST_HOPS: u32 = 2;
 
-/// The same where chunks go down a tree: its depth comes on top, ten at a
-/// thousand agents.
+/// The same limit where chunks are forwarded along a tree. The depth of the
+/// tree is added: ten for a thousand agents.
 const MOST_TREE_HOPS: u32 = 12;
 
-/// The live agents, as one of them sees them.
+/// The live agents, as seen by one of them.
 #[derive(Debug)]
 pub struct Sources {
     own_ip: IpAddr,
     data_centre: Name,
     peers: Vec<Peer>,
-    /// All agents, neighbours in different data centres.
+    /// All agents, ordered so that neighbours are in different data centres.
     order: Vec<IpAddr>,
-    /// Those that bring chunks in from the origin.
+    /// Agents that fetch chunks from the origin.
     owners_of_all: Vec<IpAddr>,
-    /// The ways of chunks in the own data centre, if it is large.
+    /// The distribution trees of the own data centre, if it is large.
     trees: Option<Trees>,
 }
 
-/// Agents from which on the slow ones are looked at together.
+/// The minimum number of agents for which slow agents are counted before any
+/// is treated as slow.
 const MANY_AGENTS: usize = 48;
 
-/// Of a large fleet more than a third is never slow by itself: after a loss of
-/// all, its links are full of chunks. Taken for slow, nobody owned anything, and
-/// each of 204 agents asked the origin for all.
+/// Clears the slow flags of a large fleet if more than a third of its agents
+/// are slow. After a loss of all state every link is full of chunks, so
+/// slowness says nothing about a single agent. If all were treated as slow, no
+/// agent would own any chunk, and each of 204 agents would request everything
+/// from the origin.
 fn forget_slow_if_most(peers: &mut [Peer]) {
     let slow = peers.iter().filter(|peer| peer.is_slow).count();
     if peers.len() >= MANY_AGENTS && slow * 3 > peers.len() {
@@ -93,7 +97,7 @@
 }
 
 impl Sources {
-    /// An agent that knows of no other.
+    /// Creates the state of an agent that knows no others.
     pub fn new(own_ip: IpAddr, data_centre: Name) -> Sources {
         Sources {
             own_ip,
@@ -105,13 +109,14 @@
         }
     }
 
-    /// Whether a list of live agents has come.
+    /// Returns whether a list of live agents has been received.
     pub fn is_known(&self) -> bool {
         !self.peers.is_empty()
     }
 
-    /// Takes over the list of live agents; the own entry is added if it is
-    /// missing, as one that brings nothing in: the others do not know of it.
+    /// Replaces the list of live agents. A missing own entry is added and
+    /// marked as slow, so that it owns no chunk: the other agents do not know
+    /// of this one.
     pub fn set_peers(&mut self, mut peers: Vec<Peer>) {
         forget_slow_if_most(&mut peers);
         if peers.iter().all(|peer| peer.ip != self.own_ip) {
@@ -133,8 +138,8 @@
         self.grow_trees();
     }
 
-    /// Works out anew which agents hand chunks on in the own data centre:
-    /// those that are not slow, and do not fetch for all.
+    /// Recomputes which agents forward chunks in the own data centre: those
+    /// that are not slow and do not fetch from the origin.
     fn grow_trees(&mut self) {
         let here = self.of(&self.data_centre);
         let inner: Vec<IpAddr> = here
@@ -149,16 +154,17 @@
         }
     }
 
-    /// The place of this agent among all, and their count. Neighbours in the
-    /// order stand in different data centres, so that no data centre changes
-    /// over at once.
+    /// Returns the position of this agent among all agents, and their number.
+    /// Neighbours in the order are in different data centres, so that no data
+    /// centre changes over all its targets at once.
     pub fn rank(&self) -> (usize, usize) {
         let rank = self.order.iter().position(|ip| *ip == self.own_ip);
         (rank.unwrap_or(0), self.order.len().max(1))
     }
 
-    /// Agents among which the origin's connections are shared: all, or in a
-    /// large data centre those that bring chunks in, and as many drawn ones.
+    /// Returns the number of agents that share the origin's connections: all
+    /// agents, or with trees the owners and as many agents selected for direct
+    /// retries.
     pub fn origin_askers(&self) -> usize {
         match self.trees {
             Some(_) => ORIGIN_OWNERS_MOST + STRAIGHT_MOST,
@@ -166,7 +172,7 @@
         }
     }
 
-    /// All agents, neighbours in different data centres.
+    /// All agents, ordered so that neighbours are in different data centres.
     fn in_turn(&self) -> Vec<IpAddr> {
         let mut order: Vec<(usize, &Name, IpAddr)> = self
             .peers
@@ -183,7 +189,7 @@
         order.into_iter().map(|(.., ip)| ip).collect()
     }
 
-    /// Whether a source is known to be gone or slow.
+    /// Returns whether a source is slow or missing from the list of agents.
     pub fn is_lost(&self, source: Source) -> bool {
         match source {
             Source::Origin => false,
@@ -194,7 +200,8 @@
         }
     }
 
-    /// Whether a source is known to hold a whole version: it answers at once.
+    /// Returns whether a source is known to hold the whole version and can
+    /// answer immediately.
     pub fn holds(&self, source: Source, version: u64) -> bool {
         match source {
             Source::Origin => false,
@@ -205,8 +212,8 @@
         }
     }
 
-    /// Who is asked for an item of a version after `failures` lost tries, by
-    /// a question that has passed `hops` agents.
+    /// Selects the source of an item after `failures` failed tries, for a
+    /// request that has passed `hops` agents.
     pub fn pick(
         &self,
         version: u64,
@@ -218,7 +225,8 @@
             Item::Manifest => version as usize,
             Item::Chunk(index) => index as usize,
         };
-        // Whoever could not answer in time has the item soon after.
+        // A source that did not answer in time probably has the item soon
+        // after, so it is tried again before another one is selected.
         let is_straight = failures % STRAIGHT_EVERY == STRAIGHT_EVERY - 1
             && self.may_go_straight(key, failures);
         let failures = failures / TRIES_PER_SOURCE;
@@ -234,15 +242,17 @@
         if let Some(peer) = self.holder(here, version, turn) {
             return Source::Peer(peer);
         }
-        // Nobody else may be asked by the one whom the others ask in the end,
-        // also after tries that were lost: each would wait for the other. Four
-        // chunks of 64 were missing when an origin went, for that alone.
+        // The last agent to which the others turn must not request the item
+        // from one of them, not even after failed tries: each would wait for
+        // the other. Otherwise, when the origin became unreachable, 4 chunks
+        // of 64 stayed missing for that reason alone.
         if self.owner_of_all(key) == Some(self.own_ip) {
             return self.pick_far(version, key, 0);
         }
         if let Some(trees) = &self.trees {
-            // Lost tries go up the tree and begin anew: whoever asked all
-            // owners in turn would wait for agents that wait for it.
+            // Failed tries go up the tree and then start at the parent again.
+            // Trying all owners in turn could request from agents that wait
+            // for this one.
             return match trees.ancestor(key, failures as usize) {
                 Some(ip) => Source::Peer(ip),
                 None => self.pick_far(version, key, 0),
@@ -258,23 +268,24 @@
         }
     }
 
-    /// Whether a lost try may go to the origin past everybody else: in a large
-    /// data centre only those drawn for it, about [`STRAIGHT_MOST`] of all
-    /// agents. While the origin was away, 204 agents sent it one of eight
-    /// tries each, and when it came back it sent 34 copies and served nobody.
+    /// Returns whether a retry may go directly to the origin. In a large data
+    /// centre only pseudo-randomly selected agents may, about
+    /// [`STRAIGHT_MOST`] of all. If 204 agents sent one of eight tries each to
+    /// an unreachable origin, on its return it would send 34 copies and serve
+    /// nobody in time.
     fn may_go_straight(&self, key: usize, failures: u32) -> bool {
         let Some(trees) = &self.trees else { return true };
         let drawn = trees.draw(key + failures as usize) % self.order.len();
         drawn < STRAIGHT_MOST
     }
 
-    /// Whether this agent is the one that brings a chunk of a version in from
-    /// the origin: nobody else holds it yet.
+    /// Returns whether this agent fetches an item from the origin, because it
+    /// is the item's owner and no agent holds the version yet.
     pub fn brings_in(&self, version: u64, item: Item) -> bool {
         self.pick(version, item, 0, 0) == Source::Origin
     }
 
-    /// Who is asked if nobody in the own data centre can be.
+    /// Selects a source outside the own data centre.
     fn pick_far(&self, version: u64, key: usize, failures: u32) -> Source {
         let turn = key + failures as usize;
         if let Some(peer) = self.holder(self.peers.iter(), version, turn) {
@@ -286,8 +297,8 @@
         }
     }
 
-    /// The agent that is asked at its `turn` among those that hold a version
-    /// and are not slow.
+    /// Selects, by `turn`, an agent among those that hold a version and are
+    /// not slow.
     fn holder<'a>(
         &self,
         peers: impl Iterator<Item = &'a Peer>,
@@ -306,7 +317,7 @@
         Some(holders[place])
     }
 
-    /// The agent of a data centre that brings an item in.
+    /// Returns the agent of a data centre that owns an item there.
     fn owner(&self, data_centre: &Name, key: usize) -> Option<IpAddr> {
         let able = || self.of(data_centre).filter(|peer| !peer.is_slow);
         let count = able().count();
@@ -314,13 +325,13 @@
         able().nth(place).map(|peer| peer.ip)
     }
 
-    /// The agent that brings an item in from the origin: one of a few, which
-    /// stand in different data centres in turn.
+    /// Returns the agent that fetches an item from the origin: one of a few,
+    /// interleaved across data centres.
     ///
-    /// Whoever fetches at the same time shares the origin's link, so that
-    /// with many every chunk comes late and all come at once. Of 45 agents
-    /// each waited 1.2 s for its first chunk, about as long as others waited
-    /// for it before they asked the origin themselves.
+    /// Agents that fetch at the same time share the origin's link, so with
+    /// many of them every chunk arrives late and all at once. Each of 45
+    /// agents waited 1.2 s for its first chunk, about as long as other agents
+    /// wait for it before they ask the origin themselves.
     fn owner_of_all(&self, key: usize) -> Option<IpAddr> {
         let owners = &self.owners_of_all;
         let place = key.checked_rem(owners.len())?;
@@ -331,7 +342,7 @@
         self.peers.iter().position(|peer| peer.ip == self.own_ip).unwrap_or(0)
     }
 
-    /// The agents of a data centre.
+    /// Iterates over the agents of a data centre.
     fn of<'a>(
         &'a self,
         data_centre: &'a Name,
--- a/crates/raildale-core/src/swarm/swap.rs
+++ b/crates/raildale-core/src/swarm/swap.rs
@@ -1,36 +1,39 @@
-//! When a target changes over to a newer version.
+//! Schedules when a target changes to a newer version.
 //!
-//! A target that loads weights takes nothing new meanwhile, so targets take
-//! turns: each version has a window between the time when it usually lies
-//! everywhere and its bound, and each agent a place in that window. Before
-//! its turn the agent says that it accepts nothing new, so that entry hosts
-//! send elsewhere; what still runs after a while is cut and goes on at
-//! another target, if the service's streams may be resumed.
+//! A target accepts no new requests while it loads weights, so targets change
+//! over one after another. Each version has a time window between the time
+//! when it is usually available everywhere and its bound, and each agent has a
+//! turn within that window. Before its turn the agent stops accepting
+//! requests, so that entry hosts route them to other targets. Requests still
+//! running after [`SwapConfig::drain_ms`] are cut and resumed at another
+//! target, if the service's streams are resumable.
 
-/// How a target is told to load.
+/// How a target treats running requests when it is ordered to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMethod {
-    /// After what runs has ended.
+    /// Load after the running requests have ended.
     AfterRunning,
-    /// At once: what runs is cut.
+    /// Load immediately and cut the running requests.
     CutRunning,
 }
 
-/// Times of a change-over, in milliseconds.
+/// Timing of a change-over, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct SwapConfig {
-    /// From naming to the bound after which nothing older may start.
+    /// The time from the naming of a version until its bound, after which no
+    /// request may start on an older version.
     pub bound_ms: u64,
-    /// From naming to the first turn. The first agents hold a version after
-    /// 2.8 s on the users' bench, the last after 3.7 s; turns that begin
-    /// earlier spread the change-overs over more of the bound.
+    /// The time from the naming of a version to the first turn. In a fill of
+    /// 3.7 s the first agents hold a version after 2.8 s and the last after
+    /// 3.7 s; an earlier first turn spreads the change-overs over more of the
+    /// bound.
     pub fill_ms: u64,
-    /// How long running work may end by itself before it is cut.
+    /// How long running requests may continue before they are cut.
     pub drain_ms: u64,
-    /// What a version needs from its naming until it is loaded everywhere: a
-    /// fill of 3.7 s and turns of 1.5 s.
+    /// The time from the naming of a version until every target has loaded it:
+    /// a fill of 3.7 s and turns of 1.5 s.
     pub renew_ms: u64,
-    /// What is kept free before the bound.
+    /// The time kept free before the bound.
     pub margin_ms: u64,
 }
 
@@ -47,11 +50,12 @@
 }
 
 impl SwapConfig {
-    /// When the agent at place `rank` of `count` begins, if it has held the
-    /// version since `whole_ms`.
+    /// Returns when the agent at position `rank` of `count` begins its
+    /// change-over, if it has held the version since `whole_ms`.
     ///
-    /// A version that came late everywhere still goes in turns, over what is
-    /// left of its bound: all at once would leave nobody to serve.
+    /// A version that arrives late everywhere is still loaded in turns over
+    /// the rest of its bound, as simultaneous change-overs would leave no
+    /// target to serve requests.
     pub fn turn_ms(
         &self,
         named_ms: u64,
@@ -67,36 +71,39 @@
     }
 }
 
-/// Where a change-over stands.
+/// The phase of a change-over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapPhase {
-    /// None is under way.
+    /// No change-over is active.
     Idle,
-    /// Nothing new is accepted; chunks are being staged.
+    /// No new requests are accepted; chunks are being staged or running
+    /// requests drain.
     Draining {
-        /// The version to come.
+        /// The version to change to.
         version: u64,
-        /// When it began.
+        /// When draining began, or when the order that is being repeated was
+        /// sent.
         since_ms: u64,
         /// The staging of its chunks.
         staging: Staging,
     },
-    /// The order is out.
+    /// The target has been ordered to load, and its state does not show the
+    /// version yet.
     Loading {
-        /// The version to come.
+        /// The version to change to.
         version: u64,
-        /// When the order went out.
+        /// When the order was sent, or was found to have been carried out.
         since_ms: u64,
         /// The staging of its chunks.
         staging: Staging,
     },
 }
 
-/// The staging of a version's chunks.
+/// The state of staging a version's chunks in the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Staging {
-    /// When it began: no chunk has lain there for longer.
+    /// When staging began; every chunk was staged at or after this time.
     pub begun_ms: u64,
-    /// Whether every chunk lies there.
+    /// Whether every chunk is staged.
     pub is_done: bool,
 }
--- a/crates/raildale-core/src/swarm/tree.rs
+++ b/crates/raildale-core/src/swarm/tree.rs
@@ -1,47 +1,52 @@
-//! The ways of chunks inside a large data centre.
+//! Distribution trees inside a large data centre.
 //!
-//! Each chunk has a tree of its own, drawn alike by all agents from its number
-//! and their addresses: whoever brings it in is the root, and each agent asks
-//! the one above it. With 41 agents the root alone would need 2 s of its link
-//! for a chunk's copies, and while all ask for the same ten chunks the links of
-//! the other 31 would be idle. The order of a tree is by a hash of agent and
-//! chunk: agents ask only those before them in it, so that no two wait for one
-//! another, whatever lists of agents they go by.
+//! Each chunk has its own tree, which every agent derives from the chunk's
+//! number and the agents' addresses. The agent that fetches the chunk into the
+//! data centre is the root, and each agent requests the chunk from its parent.
+//! With 41 agents the root alone would need 2 s of its link for the copies of
+//! one chunk, and while all agents request the same ten chunks the links of
+//! the other 31 would be idle. The agents in a tree are ordered by a hash of
+//! agent and chunk. An agent requests chunks only from agents before it in
+//! this order, so that no two wait for each other even if their lists of
+//! agents differ.
 
 use std::{cell::RefCell, collections::HashMap, net::IpAddr};
 
-/// Agents up to which the owner of a chunk sends it to all: as many as one
-/// asks at once.
+/// Up to this number of agents, the owner of a chunk sends it to all of them
+/// directly: it is the number of concurrent requests of one agent.
 const STAR_MOST: usize = 10;
 
-/// Agents to which each one hands a chunk on: with two, half of the agents
-/// send twice what they take in, and another half of a tree is theirs.
+/// The number of children of a tree node. With two, half of the agents send
+/// twice the volume that they receive, and each chunk's tree has a different
+/// half.
 const FAN_OUT: usize = 2;
 
-/// The trees of a data centre, one a chunk, as one agent sees them.
+/// The trees of a data centre, one for each chunk, as seen by one agent.
 #[derive(Debug)]
 pub struct Trees {
     own_ip: IpAddr,
-    /// Agents that hand chunks on, by address.
+    /// Agents that forward chunks, in address order.
     inner: Vec<IpAddr>,
-    /// Those above this agent, the nearest first, by chunk.
+    /// The ancestors of this agent by chunk, nearest first.
     above: RefCell<HashMap<usize, Vec<IpAddr>>>,
 }
 
 impl Trees {
-    /// The trees over `inner`; `None` if these are too few to need any.
+    /// Creates the trees over `inner`. Returns `None` if there are too few
+    /// agents to need trees.
     pub fn new(own_ip: IpAddr, inner: Vec<IpAddr>) -> Option<Trees> {
         let above = RefCell::default();
         (inner.len() > STAR_MOST).then_some(Trees { own_ip, inner, above })
     }
 
-    /// The agents that hand chunks on.
+    /// Returns the agents that forward chunks.
     pub fn inner(&self) -> &[IpAddr] {
         &self.inner
     }
 
-    /// The agent that is `step` places further above than the next one, from
-    /// the next one on again after the root; `None` for the root itself.
+    /// Returns the ancestor `step` levels above the parent, which has step 0.
+    /// Wraps around to the parent after the root; `None` if this agent is the
+    /// root.
     pub fn ancestor(&self, key: usize, step: usize) -> Option<IpAddr> {
         let mut above = self.above.borrow_mut();
         let known = above.entry(key).or_insert_with(|| self.all_above(key));
@@ -49,7 +54,7 @@
         Some(known[place])
     }
 
-    /// A number drawn for this agent and `key`.
+    /// Returns a pseudo-random number derived from this agent and `key`.
     pub fn draw(&self, key: usize) -> usize {
         rank_hash(self.own_ip, key) as usize
     }
@@ -60,7 +65,8 @@
         order.sort_unstable();
         let own = order.iter().position(|(_, ip)| *ip == self.own_ip);
         let mut above = Vec::new();
-        // Whoever hands nothing on stands below a drawn one.
+        // An agent that does not forward chunks is the child of a
+        // pseudo-random inner node.
         let mut place = own.unwrap_or_else(|| {
             let drawn = self.draw(key) % order.len();
             above.push(order[drawn].1);
@@ -74,8 +80,8 @@
     }
 }
 
-/// Where an agent stands in the tree of a chunk: the finaliser of SplitMix64
-/// over both.
+/// Returns the sort key of an agent in the tree of a chunk: the SplitMix64
+/// finaliser over both.
 fn rank_hash(ip: IpAddr, key: usize) -> u64 {
     let address = match ip {
         IpAddr::V4(ip) => u64::from(u32::from(ip)),
@@ -87,5 +93,5 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The increment of SplitMix64: it spreads neighbouring chunks apart.
+/// The increment of SplitMix64; it decorrelates neighbouring chunks.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/crates/raildale-core/src/swarm/version.rs
+++ b/crates/raildale-core/src/swarm/version.rs
@@ -1,4 +1,4 @@
-//! What an agent holds of one version of the weights.
+//! The chunks and active transfers of one version of the weights.
 
 use bytes::Bytes;
 
@@ -8,65 +8,70 @@
     sources::Source,
 };
 
-/// A transfer under way.
+/// An active transfer.
 #[derive(Clone, Copy, Debug)]
 pub struct Fetch {
-    /// Who was asked.
+    /// The source of the transfer.
     pub source: Source,
-    /// When it is taken for lost.
+    /// When the transfer times out.
     pub until_ms: u64,
-    /// Whether the source may have to wait for it first.
+    /// Whether the source may have to obtain the item itself before it can
+    /// answer.
     pub may_wait: bool,
 }
 
-/// Somebody who waits for an item.
+/// A pending request of another agent for an item.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiter {
-    /// Names the question.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// When it is told that the item is not to be had here.
+    /// When the request is answered with
+    /// [`Content::Absent`](super::reducer::Content::Absent).
     pub until_ms: u64,
-    /// Agents that the question has passed already.
+    /// The number of agents that forwarded the request before.
     pub hops: u32,
 }
 
-/// An item of a version: its manifest or a chunk.
+/// The transfer state of an item: a version's manifest or one of its chunks.
 #[derive(Debug, Default)]
 pub struct Slot {
-    /// The transfer under way.
+    /// The active transfer, if any.
     pub fetch: Option<Fetch>,
-    /// Transfers that failed.
+    /// The number of failed tries since the last success. A lost chunk
+    /// transfer counts as all tries at its source.
     pub failures: u32,
-    /// Not to be asked for again before this.
+    /// No new transfer starts before this time.
     pub not_before_ms: u64,
-    /// Who waits for it.
+    /// Pending requests of other agents for the item.
     pub waiters: Vec<Waiter>,
 }
 
-/// One version.
+/// The state of one version.
 #[derive(Debug)]
 pub struct Version {
-    /// Its number.
+    /// The version number.
     pub number: u64,
-    /// The chunks' digests, once known.
+    /// The digests of the chunks, in order; `None` until the manifest is
+    /// received.
     pub digests: Option<Vec<WeightDigest>>,
-    /// The manifest's transfer and waiters.
+    /// The transfer state of the manifest.
     pub manifest: Slot,
-    /// The chunks' transfers and waiters.
+    /// The transfer state of each chunk, in order.
     pub slots: Vec<Slot>,
     chunks: Vec<Option<Bytes>>,
     held: usize,
-    /// Chunks in a row that came straight from the origin and did not match;
-    /// the manifest itself may be the spoilt one.
+    /// The number of consecutive chunks received directly from the origin that
+    /// did not match their digests. The manifest itself may be corrupt.
     pub origin_mismatches: u32,
-    /// Since when every chunk is held.
+    /// When the last missing chunk was stored; `None` while any is missing.
     pub whole_ms: Option<u64>,
-    /// When it last came nearer to that.
+    /// When the manifest or a chunk was last received.
     pub progress_ms: u64,
 }
 
 impl Version {
-    /// Nothing held of `number` yet.
+    /// Creates the state of version `number`, with no manifest and no chunks
+    /// held.
     pub fn new(number: u64, chunk_count: usize) -> Version {
         Version {
             number,
@@ -81,27 +86,28 @@
         }
     }
 
-    /// Whether every chunk is held.
+    /// Returns whether the manifest and every chunk are held.
     pub fn is_whole(&self) -> bool {
         self.digests.is_some() && self.held == self.chunks.len()
     }
 
-    /// Chunks held.
+    /// Returns the number of chunks held.
     pub fn held(&self) -> usize {
         self.held
     }
 
-    /// A chunk, if it is held.
+    /// Returns a chunk; `None` if it is not held or there is no such chunk.
     pub fn chunk(&self, index: usize) -> Option<&Bytes> {
         self.chunks.get(index)?.as_ref()
     }
 
-    /// Every chunk, if the version is whole.
+    /// Returns all chunks in order; `None` if any is missing.
     pub fn chunks(&self) -> Option<Vec<Bytes>> {
         self.chunks.iter().cloned().collect()
     }
 
-    /// Keeps a chunk if it matches its digest.
+    /// Stores a chunk if it matches its digest. Returns whether it was stored;
+    /// always `false` while the manifest is unknown.
     pub fn keep(&mut self, index: usize, data: Bytes) -> bool {
         let Some(digest) =
             self.digests.as_ref().and_then(|digests| digests.get(index))
@@ -118,7 +124,8 @@
         true
     }
 
-    /// The slot of an item; `None` if the version has no such chunk.
+    /// Returns the transfer state of an item; `None` if the version has no
+    /// such chunk.
     pub fn slot_mut(&mut self, item: Item) -> Option<&mut Slot> {
         match item {
             Item::Manifest => Some(&mut self.manifest),
@@ -126,13 +133,14 @@
         }
     }
 
-    /// The manifest's slot and those of the chunks, in order.
+    /// Iterates over the transfer states of the manifest and of the chunks, in
+    /// order.
     pub fn slots_mut(&mut self) -> impl Iterator<Item = &mut Slot> {
         std::iter::once(&mut self.manifest).chain(&mut self.slots)
     }
 
-    /// Transfers of chunks from other agents under way, those that may have
-    /// to wait at their source or the others.
+    /// Returns the number of active chunk transfers from other agents whose
+    /// [`Fetch::may_wait`] equals `may_wait`.
     pub fn fetches(&self, may_wait: bool) -> usize {
         self.slots
             .iter()
@@ -142,8 +150,9 @@
             .count()
     }
 
-    /// Transfers of chunks under way that others wait for, from sources that
-    /// may have to wait themselves.
+    /// Returns the number of active chunk transfers from other agents that
+    /// have pending requests and whose source may have to obtain the chunk
+    /// first.
     pub fn fetches_awaited(&self) -> usize {
         let awaited =
             self.slots.iter().filter(|slot| !slot.waiters.is_empty());
@@ -153,7 +162,8 @@
             .count()
     }
 
-    /// Transfers from the origin under way, the manifest's among them.
+    /// Returns the number of active transfers from the origin, including the
+    /// manifest's.
     pub fn fetches_from_origin(&self) -> usize {
         std::iter::once(&self.manifest)
             .chain(&self.slots)
--- a/crates/raildale-core/src/swarm/window.rs
+++ b/crates/raildale-core/src/swarm/window.rs
@@ -1,41 +1,44 @@
-//! How many transfers run at once.
+//! Limits the number of concurrent transfers.
 //!
-//! Chunks come in by the same link as requests to the target, and queue
-//! before it when there are too many at once. The window shrinks when chunks
-//! take long and grows back when they do not, as TCP's does.
+//! Chunks share the inbound link with requests to the target, and too many
+//! concurrent transfers build up a queue on it. Similar to TCP's congestion
+//! window, the window shrinks when chunks are slow and grows back when they
+//! are not.
 
-/// Transfers at once.
+/// The number of transfers that may run concurrently.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     size: f64,
     most: f64,
 }
 
-/// A chunk that takes longer shrinks the window, in milliseconds. Six chunks
-/// of 49,152 bytes take 250 ms on a link of 9.4 Mbit/s.
+/// A chunk that takes longer than this shrinks the window, in milliseconds.
+/// Six chunks of 49,152 bytes take 250 ms on a link of 9.4 Mbit/s.
 const SLOW_MS: u64 = 420;
 
-/// What a chunk that is not slow adds.
+/// The growth of the window for each chunk that is not slow.
 const GROWTH: f64 = 0.5;
 
 impl Window {
-    /// A window of `most` transfers, wide open.
+    /// Creates a fully open window of `max` transfers.
     pub fn new(most: usize) -> Window {
         Window { size: most as f64, most: most as f64 }
     }
 
-    /// Transfers that may run at once.
+    /// Returns the number of transfers that may run concurrently.
     pub fn size(&self) -> usize {
         self.size as usize
     }
 
-    /// The part of another bound that the window leaves open, 1 at least.
+    /// Scales another limit by the ratio of the window's size to its maximum.
+    /// Returns at least 1.
     pub fn share(&self, bound: usize) -> usize {
         let open = self.size / self.most * bound as f64;
         (open as usize).max(1)
     }
 
-    /// Takes in how long a chunk from another agent took.
+    /// Records how long the transfer of a chunk from another agent took, in
+    /// milliseconds.
     pub fn note(&mut self, took_ms: u64) {
         if took_ms > SLOW_MS {
             self.size = (self.size / 2.0).max(1.0);
