--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -145,7 +145,7 @@
 
     /// Returns whether the target serves the newest version and no change-over
     /// is active.
-    pub fn is_calm(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.target.serves_version >= self.wanted()
             && self.phase == SwapPhase::Idle
     }
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -169,7 +169,7 @@
 
     /// Milliseconds until the next look at the target.
     fn look_ms(&self) -> u32 {
-        match self.swarm.is_calm() {
+        match self.swarm.is_settled() {
             true => CALM_LOOK_MS,
             false => BUSY_LOOK_MS,
         }
