--- a/crates/raildale-core/src/swarm/reducer/change_over.rs
+++ b/crates/raildale-core/src/swarm/reducer/change_over.rs
@@ -30,7 +30,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if self.target.is_up && self.orders.ask_start(now_ms) {
-            effects.push(Effect::AskStart);
+            effects.push(Effect::QueryStart);
         }
     }
 
--- a/crates/raildale-core/src/swarm/reducer/messages.rs
+++ b/crates/raildale-core/src/swarm/reducer/messages.rs
@@ -219,7 +219,7 @@
     /// Read the target's staging area.
     ReadStaging,
     /// Query which start of the target is running.
-    AskStart,
+    QueryStart,
     /// Put all chunks into the target's staging area.
     Stage {
         /// The version.
--- a/crates/raildale-core/tests/order_doubts.rs
+++ b/crates/raildale-core/tests/order_doubts.rs
@@ -266,7 +266,7 @@
     let mut effects = Vec::new();
     for _ in 0..20 {
         let passed = alone.pass(400);
-        if passed.contains(&Effect::AskStart) {
+        if passed.contains(&Effect::QueryStart) {
             alone.take(Event::Start(TargetStart::Lost));
         }
         if !stagings(&passed).is_empty() {
@@ -342,7 +342,7 @@
     let mut effects = alone.give(3);
     for _ in 0..13 {
         let passed = alone.pass(400);
-        if passed.contains(&Effect::AskStart) {
+        if passed.contains(&Effect::QueryStart) {
             alone.take(Event::Start(TargetStart::Lost));
         }
         effects.extend(passed);
--- a/crates/raildale-core/tests/swarm_world/mod.rs
+++ b/crates/raildale-core/tests/swarm_world/mod.rs
@@ -462,7 +462,7 @@
                 let chunks = Some(self.machines[machine].target.staged());
                 self.tell(30, machine, Event::StagingRead { chunks });
             }
-            Effect::AskStart => {
+            Effect::QueryStart => {
                 let start = self.machines[machine].target.start();
                 if self.strikes(self.faults.rejected_checks_per_mille) {
                     let start = TargetStart::Lost;
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -237,7 +237,7 @@
                     None => self.tell(Event::StagingRead { chunks: None }),
                 }
             }
-            Effect::AskStart => match self.facts.health_path() {
+            Effect::QueryStart => match self.facts.health_path() {
                 Some(path) => self.calls.ask_start(path),
                 None => self.tell(Event::Start(TargetStart::Untold)),
             },
