--- a/crates/raildale-core/src/swarm/reducer/transfers.rs
+++ b/crates/raildale-core/src/swarm/reducer/transfers.rs
@@ -137,7 +137,7 @@
         let bound_ms = named_ms + swap.bound_ms;
         self.named
             .range(number + 1..)
-            .any(|(_, newer_ms)| newer_ms + swap.renew_ms <= bound_ms)
+            .any(|(_, newer_ms)| newer_ms + swap.rollout_ms <= bound_ms)
     }
 
     /// Ends transfers that have timed out or whose source is unavailable.
--- a/crates/raildale-core/src/swarm/swap.rs
+++ b/crates/raildale-core/src/swarm/swap.rs
@@ -32,7 +32,7 @@
     pub drain_ms: u64,
     /// The time from the naming of a version until every target has loaded it:
     /// a fill of 3.7 s and turns of 1.5 s.
-    pub renew_ms: u64,
+    pub rollout_ms: u64,
     /// The time kept free before the bound.
     pub margin_ms: u64,
 }
@@ -43,7 +43,7 @@
             bound_ms: 8_000,
             fill_ms: 2_400,
             drain_ms: 600,
-            renew_ms: 5_200,
+            rollout_ms: 5_200,
             margin_ms: 1_700,
         }
     }
