--- a/crates/raildale-core/src/swarm/queue_delay.rs
+++ b/crates/raildale-core/src/swarm/queue_delay.rs
@@ -57,7 +57,7 @@
 
     /// Records the arrival of a slice that was sent at `sent_ms` on its
     /// sender's clock.
-    pub fn note(&mut self, now_ms: u64, from: IpAddr, sent_ms: u64) {
+    pub fn record(&mut self, now_ms: u64, from: IpAddr, sent_ms: u64) {
         self.forget(now_ms);
         let took_ms = now_ms as i64 - sent_ms as i64;
         let known = self.senders.get(&from).copied();
@@ -76,7 +76,7 @@
     ///
     /// Returns 0 if there are no recent slices, or if they all come from one
     /// sender: the delay may then be caused by the sender's own link.
-    pub fn ms(&self, now_ms: u64) -> u64 {
+    pub fn estimate_ms(&self, now_ms: u64) -> u64 {
         let Some(last) = self.recent.last() else { return 0 };
         if now_ms > last.at_ms + FRESH_MS {
             return 0;
--- a/crates/raildale-core/tests/queue_delay.rs
+++ b/crates/raildale-core/tests/queue_delay.rs
@@ -29,7 +29,7 @@
     came.sort_unstable();
     for (now_ms, last, sent_ms) in came {
         if now_ms < START_MS + lasting_ms {
-            delay.note(now_ms, agent(last), sent_ms);
+            delay.record(now_ms, agent(last), sent_ms);
         }
     }
     delay
@@ -38,16 +38,16 @@
 #[test]
 fn a_quick_way_has_no_queue_whatever_the_clocks_are() {
     let delay = sliced(6, 2_000, |_| 3);
-    assert_eq!(delay.ms(START_MS + 2_000), 0);
+    assert_eq!(delay.estimate_ms(START_MS + 2_000), 0);
 }
 
 /// A queue that grows by two seconds a second, from a moment on.
 #[test]
 fn a_queue_that_grows_is_seen_while_it_grows() {
     let way_ms = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
-    let seen_ms = sliced(6, 1_600, way_ms).ms(START_MS + 1_600);
+    let seen_ms = sliced(6, 1_600, way_ms).estimate_ms(START_MS + 1_600);
     assert!((200..=400).contains(&seen_ms), "{seen_ms}");
-    let later_ms = sliced(6, 2_200, way_ms).ms(START_MS + 2_200);
+    let later_ms = sliced(6, 2_200, way_ms).estimate_ms(START_MS + 2_200);
     assert!(later_ms >= 600, "{later_ms}");
 }
 
@@ -55,11 +55,11 @@
 #[test]
 fn one_slow_sender_is_no_queue() {
     let growing = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
-    assert_eq!(sliced(1, 2_200, growing).ms(START_MS + 2_200), 0);
+    assert_eq!(sliced(1, 2_200, growing).estimate_ms(START_MS + 2_200), 0);
     let mut delay = sliced(6, 2_000, |_| 3);
     let now_ms = START_MS + 2_000;
-    delay.note(now_ms, agent(3), 1_200 + 3 * 1_234);
-    assert_eq!(delay.ms(now_ms), 0);
+    delay.record(now_ms, agent(3), 1_200 + 3 * 1_234);
+    assert_eq!(delay.estimate_ms(now_ms), 0);
 }
 
 /// Once nothing comes any more, nothing stands in the queue.
@@ -67,7 +67,7 @@
 fn a_queue_is_forgotten_after_its_last_slice() {
     let way_ms = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
     let delay = sliced(6, 2_200, way_ms);
-    assert_eq!(delay.ms(START_MS + 3_200), 0);
+    assert_eq!(delay.estimate_ms(START_MS + 3_200), 0);
 }
 
 /// An agent that starts anew begins its clock anew.
@@ -77,11 +77,11 @@
     for number in 0..10 {
         for last in 1..=2 {
             let at_ms = number * 100;
-            delay.note(START_MS + at_ms, agent(last), 50_000 + at_ms);
+            delay.record(START_MS + at_ms, agent(last), 50_000 + at_ms);
         }
     }
     for last in 1..=2 {
-        delay.note(START_MS + 1_400, agent(last), 1_000);
+        delay.record(START_MS + 1_400, agent(last), 1_000);
     }
-    assert_eq!(delay.ms(START_MS + 1_400), 0);
+    assert_eq!(delay.estimate_ms(START_MS + 1_400), 0);
 }
--- a/crates/raildale/src/fleet/agent/links.rs
+++ b/crates/raildale/src/fleet/agent/links.rs
@@ -146,7 +146,7 @@
                 if give.chunk.is_some() {
                     let now = now_ms();
                     let from = address.ip();
-                    queue_delay.borrow_mut().note(now, from, give.sent_ms);
+                    queue_delay.borrow_mut().record(now, from, give.sent_ms);
                     framed.send(took_slice()).await?;
                 }
                 if let Some((question, give)) = whole(asked, give) {
--- a/crates/raildale/src/fleet/agent/reports.rs
+++ b/crates/raildale/src/fleet/agent/reports.rs
@@ -99,7 +99,7 @@
 
     /// How long what comes in waits before the link, in milliseconds.
     pub fn queue_ms(&self) -> u64 {
-        self.queue_delay.borrow().ms(now_ms())
+        self.queue_delay.borrow().estimate_ms(now_ms())
     }
 
     /// Asks the entry hosts at `seeds` for a briefing until one comes: the
