--- a/crates/raildale-core/src/swarm/reducer/arrivals.rs
+++ b/crates/raildale-core/src/swarm/reducer/arrivals.rs
@@ -60,7 +60,7 @@
         took_ms: u64,
     ) {
         if source != Source::Origin && result.is_ok() {
-            self.window.note(took_ms);
+            self.window.record(took_ms);
         }
     }
 
--- a/crates/raildale-core/src/swarm/reducer/transfers.rs
+++ b/crates/raildale-core/src/swarm/reducer/transfers.rs
@@ -94,7 +94,7 @@
         };
         Room {
             at_once: self.window.size().min(queue_most),
-            waiting: self.window.share(WAITING_MOST).min(queue_most),
+            waiting: self.window.scale(WAITING_MOST).min(queue_most),
             awaited: WAITING_MOST.min(queue_most),
             from_origin: most.saturating_sub(from_origin),
         }
--- a/crates/raildale-core/src/swarm/window.rs
+++ b/crates/raildale-core/src/swarm/window.rs
@@ -32,14 +32,14 @@
 
     /// Scales another limit by the ratio of the window's size to its maximum.
     /// Returns at least 1.
-    pub fn share(&self, bound: usize) -> usize {
+    pub fn scale(&self, bound: usize) -> usize {
         let open = self.size / self.most * bound as f64;
         (open as usize).max(1)
     }
 
     /// Records how long the transfer of a chunk from another agent took, in
     /// milliseconds.
-    pub fn note(&mut self, took_ms: u64) {
+    pub fn record(&mut self, took_ms: u64) {
         if took_ms > SLOW_MS {
             self.size = (self.size / 2.0).max(1.0);
         } else {
