--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -42,7 +42,7 @@
     /// The data centre in which it runs.
     pub data_centre: Name,
     /// The maximum number of concurrent transfers.
-    pub parallel: usize,
+    pub max_transfers: usize,
     /// Timing of a change-over.
     pub swap: SwapConfig,
 }
@@ -93,14 +93,14 @@
     /// or its target.
     pub fn new(config: SwarmConfig) -> Swarm {
         let sources = Sources::new(config.ip, config.data_centre.clone());
-        let parallel = config.parallel;
+        let max_transfers = config.max_transfers;
         Swarm {
             config,
             sources,
             chunk_count: 0,
             may_cut: false,
             origin_connections: 0,
-            window: Window::new(parallel),
+            window: Window::new(max_transfers),
             queue_ms: 0,
             named: BTreeMap::new(),
             versions: BTreeMap::new(),
--- a/crates/raildale-core/tests/swarm_world/mod.rs
+++ b/crates/raildale-core/tests/swarm_world/mod.rs
@@ -213,7 +213,7 @@
     Swarm::new(SwarmConfig {
         ip: ip(machine),
         data_centre,
-        parallel: 6,
+        max_transfers: 6,
         swap: SwapConfig::default(),
     })
 }
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -326,7 +326,7 @@
     SwarmConfig {
         ip: file.node.ip,
         data_centre: Name::from(file.node.data_centre.as_str()),
-        parallel: PARALLEL,
+        max_transfers: PARALLEL,
         swap: SwapConfig {
             bound_ms: file.bounds.version_ms,
             ..SwapConfig::default()
