--- a/crates/raildale-core/src/swarm/reducer/messages.rs
+++ b/crates/raildale-core/src/swarm/reducer/messages.rs
@@ -164,7 +164,7 @@
         outcome: OrderOutcome,
     },
     /// Another agent requests an item.
-    Asked {
+    ItemRequested {
         /// Identifies the request.
         ticket: Ticket,
         /// The version.
--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -188,7 +188,7 @@
             Event::Ordered { guard, outcome } => {
                 self.ordered(now_ms, &guard, outcome, effects);
             }
-            Event::Asked { ticket, version, item, hops } => {
+            Event::ItemRequested { ticket, version, item, hops } => {
                 self.asked(now_ms, ticket, version, item, hops, effects);
             }
             Event::Tick => {
--- a/crates/raildale-core/tests/swarm_runs.rs
+++ b/crates/raildale-core/tests/swarm_runs.rs
@@ -120,7 +120,7 @@
     let mut effects = Vec::new();
     let ticket = Ticket(1);
     let item = Item::Chunk(3);
-    let asked = Event::Asked { ticket, version: 1, item, hops: 0 };
+    let asked = Event::ItemRequested { ticket, version: 1, item, hops: 0 };
     swarm.reduce(START_MS, asked, &mut effects);
     let content = Content::Absent;
     assert_eq!(effects, [Effect::Answer { ticket, content }]);
@@ -167,7 +167,7 @@
     for index in 0..6 {
         let item = Item::Chunk(index);
         let ticket = Ticket(u64::from(index));
-        let asked = Event::Asked { ticket, version: 2, item, hops: 0 };
+        let asked = Event::ItemRequested { ticket, version: 2, item, hops: 0 };
         swarm.reduce(now_ms, asked, &mut effects);
     }
     let asked_for = effects
--- a/crates/raildale-core/tests/swarm_world/mod.rs
+++ b/crates/raildale-core/tests/swarm_world/mod.rs
@@ -551,7 +551,8 @@
                 let number = self.next_number;
                 self.asked.insert(number, (machine, version, item));
                 let ticket = Ticket(number);
-                let event = Event::Asked { ticket, version, item, hops };
+                let event =
+                    Event::ItemRequested { ticket, version, item, hops };
                 self.tell(WAY_MS, to, event);
             }
         }
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -132,6 +132,11 @@
         let item = ask.chunk.map_or(Item::Manifest, Item::Chunk);
         let AskItem { version, hops, .. } = ask;
         // The loop that takes events ends with the process only.
-        let _ = self.events.send(Event::Asked { ticket, version, item, hops });
+        let _ = self.events.send(Event::ItemRequested {
+            ticket,
+            version,
+            item,
+            hops,
+        });
     }
 }
