--- a/crates/raildale-core/src/swarm/reducer/messages.rs
+++ b/crates/raildale-core/src/swarm/reducer/messages.rs
@@ -144,7 +144,7 @@
         chunks: Option<Vec<(u32, Bytes)>>,
     },
     /// The target's current start.
-    Start(TargetStart),
+    TargetStart(TargetStart),
     /// The target reported its state.
     Target(TargetState),
     /// The queueing delay of the inbound link, in milliseconds.
--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -179,7 +179,9 @@
             Event::StagingRead { chunks } => {
                 self.staging_read(now_ms, chunks, effects);
             }
-            Event::Start(start) => self.start_told(now_ms, start, effects),
+            Event::TargetStart(start) => {
+                self.start_told(now_ms, start, effects)
+            }
             Event::QueueDelay(ms) => self.queue_ms = ms,
             Event::Target(state) => self.target_told(now_ms, state, effects),
             Event::Staged { version, is_done } => {
--- a/crates/raildale-core/tests/order_doubts.rs
+++ b/crates/raildale-core/tests/order_doubts.rs
@@ -138,7 +138,7 @@
     }
 
     fn ready(&mut self) {
-        self.take(Event::Start(TargetStart::Named("a".into())));
+        self.take(Event::TargetStart(TargetStart::Named("a".into())));
         self.take(Event::StagingRead { chunks: Some(Vec::new()) });
     }
 
@@ -226,7 +226,7 @@
     alone.take(Event::Target(TargetState::default()));
     let state = alone.state;
     alone.take(Event::Target(state));
-    effects.extend(alone.take(Event::Start(TargetStart::Untold)));
+    effects.extend(alone.take(Event::TargetStart(TargetStart::Untold)));
     effects.extend(alone.pass(1_000));
     assert!(!stagings(&effects).contains(&3), "3 is staged under 2's order");
 }
@@ -239,7 +239,7 @@
     alone.take(Event::Target(TargetState::default()));
     let state = alone.state;
     alone.take(Event::Target(state));
-    alone.take(Event::Start(TargetStart::Untold));
+    alone.take(Event::TargetStart(TargetStart::Untold));
     alone.give(2);
     let mut effects = alone.take(Event::Staged { version: 2, is_done: true });
     effects.extend(alone.pass(1_000));
@@ -267,7 +267,7 @@
     for _ in 0..20 {
         let passed = alone.pass(400);
         if passed.contains(&Effect::QueryStart) {
-            alone.take(Event::Start(TargetStart::Lost));
+            alone.take(Event::TargetStart(TargetStart::Lost));
         }
         if !stagings(&passed).is_empty() {
             alone.take(Event::Staged { version: 2, is_done: true });
@@ -282,7 +282,7 @@
 #[test]
 fn staging_that_cannot_be_read_holds_back_for_a_while_only() {
     let mut alone = Alone::new();
-    alone.take(Event::Start(TargetStart::Named("a".into())));
+    alone.take(Event::TargetStart(TargetStart::Named("a".into())));
     alone.give(2);
     let mut effects = Vec::new();
     for _ in 0..120 {
@@ -335,7 +335,7 @@
 #[test]
 fn what_lies_staged_is_ordered_first_however_long_the_start_is_in_doubt() {
     let mut alone = Alone::new();
-    alone.take(Event::Start(TargetStart::Lost));
+    alone.take(Event::TargetStart(TargetStart::Lost));
     let all = (0..CHUNKS).map(|index| (index, chunk(2, index))).collect();
     alone.take(Event::StagingRead { chunks: Some(all) });
     alone.give(2);
@@ -343,11 +343,13 @@
     for _ in 0..13 {
         let passed = alone.pass(400);
         if passed.contains(&Effect::QueryStart) {
-            alone.take(Event::Start(TargetStart::Lost));
+            alone.take(Event::TargetStart(TargetStart::Lost));
         }
         effects.extend(passed);
     }
-    effects.extend(alone.take(Event::Start(TargetStart::Named("a".into()))));
+    effects.extend(
+        alone.take(Event::TargetStart(TargetStart::Named("a".into()))),
+    );
     effects.extend(alone.pass(1_000));
     let first = stagings(&effects).first().copied();
     assert_eq!(first, Some(2), "an earlier agent may have ordered 2");
@@ -366,7 +368,7 @@
     alone.take(Event::Target(TargetState::default()));
     let state = alone.state;
     alone.take(Event::Target(state));
-    alone.take(Event::Start(TargetStart::Named("b".into())));
+    alone.take(Event::TargetStart(TargetStart::Named("b".into())));
     alone.pass(50);
     let second = alone.take(Event::Staged { version: 2, is_done: true });
     assert_eq!(orders(&second), [2], "ordered anew");
--- a/crates/raildale-core/tests/swarm_world/mod.rs
+++ b/crates/raildale-core/tests/swarm_world/mod.rs
@@ -466,12 +466,12 @@
                 let start = self.machines[machine].target.start();
                 if self.strikes(self.faults.rejected_checks_per_mille) {
                     let start = TargetStart::Lost;
-                    self.tell(2, machine, Event::Start(start));
+                    self.tell(2, machine, Event::TargetStart(start));
                 } else if self.strikes(self.faults.lost_checks_per_mille) {
                     let start = TargetStart::Lost;
-                    self.tell(400, machine, Event::Start(start));
+                    self.tell(400, machine, Event::TargetStart(start));
                 } else {
-                    self.tell(2, machine, Event::Start(start));
+                    self.tell(2, machine, Event::TargetStart(start));
                 }
             }
             Effect::Stage { version, chunks } => {
--- a/crates/raildale/src/fleet/agent/calls.rs
+++ b/crates/raildale/src/fleet/agent/calls.rs
@@ -66,7 +66,7 @@
     /// Asks which start of the target is up.
     pub fn ask_start(&self, health_path: Name) {
         self.spawn(|platform| async move {
-            Event::Start(platform.start(&health_path).await)
+            Event::TargetStart(platform.start(&health_path).await)
         });
     }
 
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -239,7 +239,7 @@
             }
             Effect::QueryStart => match self.facts.health_path() {
                 Some(path) => self.calls.ask_start(path),
-                None => self.tell(Event::Start(TargetStart::Untold)),
+                None => self.tell(Event::TargetStart(TargetStart::Untold)),
             },
             Effect::Stage { version, chunks } => {
                 match self.known_model("stage chunks") {
