--- a/crates/raildale-core/src/swarm/queue_delay.rs
+++ b/crates/raildale-core/src/swarm/queue_delay.rs
@@ -24,9 +24,9 @@
     sent_ms: u64,
     /// The shortest transit time of its slices. Includes the offset between
     /// the two clocks, so it may be negative.
-    quickest_ms: i64,
+    min_transit_ms: i64,
     /// When its last slice was received.
-    came_ms: u64,
+    received_ms: u64,
 }
 
 /// A received slice.
@@ -39,15 +39,15 @@
 
 /// The length of the time window whose slices are evaluated together, in
 /// milliseconds. On a link of 1.2 Mbit/s a slice of 8 KiB arrives every 55 ms.
-const RECENT_MS: u64 = 200;
+const WINDOW_MS: u64 = 200;
 
 /// How long an estimate stays valid after the last slice, in milliseconds. The
 /// queue drains soon after the last slice.
-const FRESH_MS: u64 = 800;
+const MAX_AGE_MS: u64 = 800;
 
 /// A sender is removed after this many milliseconds without a slice, because
 /// the network path to it may change in the meantime.
-const FORGET_MS: u64 = 4_000;
+const SENDER_TIMEOUT_MS: u64 = 4_000;
 
 impl QueueDelay {
     /// Creates an estimator without samples.
@@ -58,16 +58,17 @@
     /// Records the arrival of a slice that was sent at `sent_ms` on its
     /// sender's clock.
     pub fn record(&mut self, now_ms: u64, from: IpAddr, sent_ms: u64) {
-        self.forget(now_ms);
-        let took_ms = now_ms as i64 - sent_ms as i64;
+        self.remove_expired(now_ms);
+        let transit_ms = now_ms as i64 - sent_ms as i64;
         let known = self.senders.get(&from).copied();
         // A decreasing sending time means that the sender has restarted.
-        let same = known.filter(|sender| sender.sent_ms <= sent_ms);
-        let quickest_ms =
-            same.map_or(took_ms, |sender| sender.quickest_ms.min(took_ms));
-        let sender = Sender { sent_ms, quickest_ms, came_ms: now_ms };
+        let previous = known.filter(|sender| sender.sent_ms <= sent_ms);
+        let min_transit_ms = previous.map_or(transit_ms, |sender| {
+            sender.min_transit_ms.min(transit_ms)
+        });
+        let sender = Sender { sent_ms, min_transit_ms, received_ms: now_ms };
         self.senders.insert(from, sender);
-        let delay_ms = took_ms.abs_diff(quickest_ms);
+        let delay_ms = transit_ms.abs_diff(min_transit_ms);
         self.recent.push(Slice { at_ms: now_ms, from, delay_ms });
     }
 
@@ -78,10 +79,10 @@
     /// sender: the delay may then be caused by the sender's own link.
     pub fn estimate_ms(&self, now_ms: u64) -> u64 {
         let Some(last) = self.recent.last() else { return 0 };
-        if now_ms > last.at_ms + FRESH_MS {
+        if now_ms > last.at_ms + MAX_AGE_MS {
             return 0;
         }
-        let from_ms = last.at_ms.saturating_sub(RECENT_MS);
+        let from_ms = last.at_ms.saturating_sub(WINDOW_MS);
         let recent = || self.recent.iter().filter(|s| s.at_ms >= from_ms);
         if recent().all(|slice| slice.from == last.from) {
             return 0;
@@ -89,8 +90,10 @@
         recent().map(|slice| slice.delay_ms).min().unwrap_or(0)
     }
 
-    fn forget(&mut self, now_ms: u64) {
-        self.senders.retain(|_, sender| now_ms < sender.came_ms + FORGET_MS);
-        self.recent.retain(|slice| now_ms < slice.at_ms + 2 * RECENT_MS);
+    fn remove_expired(&mut self, now_ms: u64) {
+        self.senders.retain(|_, sender| {
+            now_ms < sender.received_ms + SENDER_TIMEOUT_MS
+        });
+        self.recent.retain(|slice| now_ms < slice.at_ms + 2 * WINDOW_MS);
     }
 }
--- a/crates/raildale-core/src/swarm/reducer/arrivals.rs
+++ b/crates/raildale-core/src/swarm/reducer/arrivals.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::{
-    Content, Effect, FetchError, RETRY_PAUSE_MOST_MS, RETRY_PAUSE_MS, Swarm,
+    Content, Effect, FetchError, MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS, Swarm,
 };
 use crate::{
     log_event::LogEvent,
@@ -15,10 +15,10 @@
 
 /// The number of consecutive digest mismatches in chunks from the origin after
 /// which the manifest is treated as corrupt, if no chunk is held.
-const DOUBT_MANIFEST: u32 = 3;
+const MAX_ORIGIN_MISMATCHES: u32 = 3;
 
 impl Swarm {
-    pub(super) fn manifest_came(
+    pub(super) fn on_manifest(
         &mut self,
         now_ms: u64,
         version: u64,
@@ -30,8 +30,8 @@
         let Some(held) = self.versions.get_mut(&version) else { return };
         let slot = &mut held.manifest;
         slot.fetch = None;
-        let sound = result.ok().filter(|digests| digests.len() == count);
-        let Some(digests) = sound else {
+        let valid = result.ok().filter(|digests| digests.len() == count);
+        let Some(digests) = valid else {
             slot.failures += 1;
             slot.not_before_ms = now_ms + pause_ms(slot.failures);
             if source == Source::Origin {
@@ -47,13 +47,13 @@
         }
         held.digests = Some(digests);
         held.progress_ms = now_ms;
-        self.keep_found(now_ms, version, effects);
+        self.insert_prior_chunks(now_ms, version, effects);
     }
 
     /// Adapts the window to the duration of a transfer. Transfers from the
     /// origin are ignored: all agents share its link, so their duration says
     /// nothing about the local link.
-    pub(super) fn note_pace(
+    pub(super) fn record_transfer_time(
         &mut self,
         source: Source,
         result: &Result<Bytes, FetchError>,
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn chunk_came(
+    pub(super) fn on_chunk(
         &mut self,
         now_ms: u64,
         version: u64,
@@ -79,23 +79,26 @@
         slot.fetch = None;
         let was_whole = held.is_whole();
         let error = result.as_ref().err().copied();
-        let is_kept = result.is_ok_and(|data| held.keep(place, data));
-        if !is_kept {
-            self.chunk_failed(now_ms, version, index, source, error, effects);
+        let is_stored =
+            result.is_ok_and(|data| held.insert_verified(place, data));
+        if !is_stored {
+            self.record_chunk_failure(
+                now_ms, version, index, source, error, effects,
+            );
             return;
         }
         held.slots[place].failures = 0;
         held.progress_ms = now_ms;
         held.origin_mismatches = 0;
-        self.hand_out(version, index, effects);
+        self.answer_waiters(version, index, effects);
         if !was_whole {
-            self.note_whole(now_ms, version, effects);
+            self.record_if_whole(now_ms, version, effects);
         }
     }
 
     /// Records a failed transfer of a chunk, or a digest mismatch if `error`
     /// is `None`.
-    fn chunk_failed(
+    fn record_chunk_failure(
         &mut self,
         now_ms: u64,
         version: u64,
@@ -119,7 +122,9 @@
                 held.origin_mismatches += 1;
             }
         }
-        if held.origin_mismatches >= DOUBT_MANIFEST && held.held() == 0 {
+        if held.origin_mismatches >= MAX_ORIGIN_MISMATCHES
+            && held.held_count() == 0
+        {
             held.digests = None;
             held.origin_mismatches = 0;
             // Makes another source the first choice for the next manifest.
@@ -129,7 +134,7 @@
         }
     }
 
-    pub(super) fn note_whole(
+    pub(super) fn record_if_whole(
         &mut self,
         now_ms: u64,
         version: u64,
@@ -146,5 +151,5 @@
 }
 
 fn pause_ms(failures: u32) -> u64 {
-    (RETRY_PAUSE_MS << failures.min(4)).min(RETRY_PAUSE_MOST_MS)
+    (RETRY_PAUSE_MS << failures.min(4)).min(MAX_RETRY_PAUSE_MS)
 }
--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -20,14 +20,14 @@
 use crate::{Name, gateway::TargetReport, log_event::LogEvent};
 
 mod arrivals;
-mod change_over;
-mod found;
 pub mod messages;
 mod orders;
-mod questions;
+mod prior_staging;
+mod requests;
+mod target_swap;
 mod transfers;
 
-use self::{found::Found, orders::Orders};
+use self::{orders::Orders, prior_staging::PriorStaging};
 
 pub use self::messages::{
     Content, Effect, Event, FetchError, Item, OrderGuard, OrderOutcome,
@@ -57,7 +57,7 @@
     origin_connections: usize,
     window: Window,
     /// The queueing delay of the inbound link, in milliseconds.
-    queue_ms: u64,
+    queue_delay_ms: u64,
     /// When each version was named, by version number.
     named: BTreeMap<u64, u64>,
     /// The state of each version, by version number.
@@ -66,14 +66,14 @@
     /// The last start time that the target reported.
     last_born_ms: Option<u64>,
     orders: Orders,
-    found: Found,
+    prior_staging: PriorStaging,
     phase: SwapPhase,
     /// Whether chunks are being staged.
     is_staging: bool,
     /// No change-over begins, and no order is sent, before this time.
     not_before_ms: u64,
     /// When the progress of a version was last logged.
-    progress_told_ms: u64,
+    progress_logged_ms: u64,
 }
 
 /// The base pause before a retry, in milliseconds. For transfers it doubles
@@ -83,10 +83,10 @@
 /// A version is stalled after this many milliseconds without a new chunk. A
 /// chunk arrives every 42 ms on ordinary links, and every 330 ms on a link
 /// limited to 1.2 Mbit/s.
-const STALLED_MS: u64 = 1_000;
+const STALL_TIMEOUT_MS: u64 = 1_000;
 
 /// The maximum pause before a retry, in milliseconds.
-const RETRY_PAUSE_MOST_MS: u64 = 800;
+const MAX_RETRY_PAUSE_MS: u64 = 800;
 
 impl Swarm {
     /// Creates an agent without any information about the service, its peers
@@ -101,17 +101,17 @@
             may_cut: false,
             origin_connections: 0,
             window: Window::new(max_transfers),
-            queue_ms: 0,
+            queue_delay_ms: 0,
             named: BTreeMap::new(),
             versions: BTreeMap::new(),
             target: TargetState::default(),
             last_born_ms: None,
             orders: Orders::default(),
-            found: Found::default(),
+            prior_staging: PriorStaging::default(),
             phase: SwapPhase::Idle,
             is_staging: false,
             not_before_ms: 0,
-            progress_told_ms: 0,
+            progress_logged_ms: 0,
         }
     }
 
@@ -139,7 +139,7 @@
         if self.target.serves_version >= wanted {
             return 0;
         }
-        let held = self.versions.get(&wanted).map_or(0, Version::held);
+        let held = self.versions.get(&wanted).map_or(0, Version::held_count);
         self.chunk_count.saturating_sub(held) as u32
     }
 
@@ -164,43 +164,45 @@
                 self.origin_connections = origin_connections as usize;
             }
             Event::Named { version, named_ms } => {
-                self.named(version, named_ms, effects);
+                self.on_named(version, named_ms, effects);
             }
             Event::Peers(peers) => self.sources.set_peers(peers),
             Event::Manifest { version, source, result } => {
-                self.manifest_came(now_ms, version, source, result, effects);
+                self.on_manifest(now_ms, version, source, result, effects);
             }
             Event::Chunk { version, index, source, result, took_ms } => {
-                self.note_pace(source, &result, took_ms);
-                self.chunk_came(
-                    now_ms, version, index, source, result, effects,
-                );
+                self.record_transfer_time(source, &result, took_ms);
+                self.on_chunk(now_ms, version, index, source, result, effects);
             }
             Event::StagingRead { chunks } => {
-                self.staging_read(now_ms, chunks, effects);
+                self.on_staging_read(now_ms, chunks, effects);
             }
             Event::TargetStart(start) => {
-                self.start_told(now_ms, start, effects)
+                self.on_target_start(now_ms, start, effects)
+            }
+            Event::QueueDelay(ms) => self.queue_delay_ms = ms,
+            Event::Target(state) => {
+                self.on_target_state(now_ms, state, effects)
             }
-            Event::QueueDelay(ms) => self.queue_ms = ms,
-            Event::Target(state) => self.target_told(now_ms, state, effects),
             Event::Staged { version, is_done } => {
-                self.staged(now_ms, version, is_done);
+                self.on_staged(now_ms, version, is_done);
             }
             Event::Ordered { guard, outcome } => {
-                self.ordered(now_ms, &guard, outcome, effects);
+                self.on_order_outcome(now_ms, &guard, outcome, effects);
             }
             Event::ItemRequested { ticket, version, item, hops } => {
-                self.asked(now_ms, ticket, version, item, hops, effects);
+                self.on_item_requested(
+                    now_ms, ticket, version, item, hops, effects,
+                );
             }
             Event::Tick => {
                 self.expire_waiters(now_ms, effects);
                 self.expire_transfers(now_ms);
-                self.forget_old();
-                self.tell_progress(now_ms, effects);
+                self.drop_old_versions();
+                self.log_progress(now_ms, effects);
             }
         }
-        self.go_on(now_ms, effects);
+        self.advance(now_ms, effects);
     }
 
     /// Returns the version that the target should serve.
@@ -209,7 +211,7 @@
         self.named.keys().next_back().copied().unwrap_or(FIRST_VERSION)
     }
 
-    fn named(
+    fn on_named(
         &mut self,
         version: u64,
         named_ms: u64,
@@ -225,17 +227,17 @@
     }
 
     /// Returns whether a version is incomplete and has made no progress for
-    /// [`STALLED_MS`].
+    /// [`STALL_TIMEOUT_MS`].
     fn is_stalled(&self, now_ms: u64, version: u64) -> bool {
         let held = self.versions.get(&version);
         held.is_some_and(|held| {
             let named_ms = self.named.get(&version).copied().unwrap_or(0);
             let since_ms = held.progress_ms.max(named_ms);
-            !held.is_whole() && now_ms >= since_ms + STALLED_MS
+            !held.is_whole() && now_ms >= since_ms + STALL_TIMEOUT_MS
         })
     }
 
-    fn open(&mut self, version: u64) -> &mut Version {
+    fn version_entry(&mut self, version: u64) -> &mut Version {
         let count = self.chunk_count;
         self.versions
             .entry(version)
@@ -245,18 +247,18 @@
     /// Drops versions older than the served one. No other agent needs them
     /// once a newer version is served here, as all targets move to the same
     /// newer versions.
-    fn forget_old(&mut self) {
+    fn drop_old_versions(&mut self) {
         let served = self.target.serves_version;
         self.versions.retain(|number, _| *number >= served);
     }
 
-    fn go_on(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
+    fn advance(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
         // An agent without known peers would fetch everything from the origin.
-        if self.chunk_count == 0 || !self.sources.is_known() {
+        if self.chunk_count == 0 || !self.sources.has_peers() {
             return;
         }
-        self.ask_start(now_ms, effects);
-        self.read_found(now_ms, effects);
+        self.query_start(now_ms, effects);
+        self.read_prior_staging(now_ms, effects);
         self.fetch(now_ms, effects);
         self.swap(now_ms, effects);
     }
--- a/crates/raildale-core/src/swarm/reducer/orders.rs
+++ b/crates/raildale-core/src/swarm/reducer/orders.rs
@@ -11,7 +11,7 @@
 
 /// The minimum time between two queries of the target's start while it is not
 /// known, in milliseconds: the time that one query may take.
-const ASK_AGAIN_MS: u64 = 400;
+const QUERY_INTERVAL_MS: u64 = 400;
 
 /// An order sent to the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,35 +24,35 @@
 
 /// What is known about the target's current start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Knowledge {
+enum StartKnowledge {
     /// It may differ from the known one.
-    Doubtful {
+    Uncertain {
         /// The target is not queried before this time.
-        ask_from_ms: u64,
+        query_from_ms: u64,
     },
     /// A query is in progress.
-    Asked,
+    Queried,
     /// The known id is that of the current start.
-    Sure,
+    Known,
 }
 
 /// The change that an answer about the target's start shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StartNews {
+pub(super) enum StartChange {
     /// No usable answer, or the start is the known one.
-    Nothing,
+    Unchanged,
     /// The first start known to this agent.
     First,
     /// The target has restarted.
-    Another,
+    Restarted,
 }
 
 /// The orders of this agent, and the start of the target to which they apply.
 #[derive(Debug)]
 pub(super) struct Orders {
-    knowledge: Knowledge,
+    knowledge: StartKnowledge,
     /// Whether any answer about the start has been received.
-    is_told: bool,
+    is_reported: bool,
     /// The id of the last known start.
     start: Option<Name>,
     /// The order whose answer is pending.
@@ -65,8 +65,8 @@
     /// No order, and no known start.
     fn default() -> Orders {
         Orders {
-            knowledge: Knowledge::Doubtful { ask_from_ms: 0 },
-            is_told: false,
+            knowledge: StartKnowledge::Uncertain { query_from_ms: 0 },
+            is_reported: false,
             start: None,
             sent: None,
             open: None,
@@ -76,18 +76,20 @@
 
 impl Orders {
     /// Marks the start as uncertain because the target may have restarted.
-    pub fn doubt_start(&mut self) {
-        if self.knowledge == Knowledge::Sure {
-            self.knowledge = Knowledge::Doubtful { ask_from_ms: 0 };
+    pub fn mark_start_uncertain(&mut self) {
+        if self.knowledge == StartKnowledge::Known {
+            self.knowledge = StartKnowledge::Uncertain { query_from_ms: 0 };
         }
     }
 
     /// Returns whether to query the target's start now. If so, the query is
     /// recorded as being in progress.
-    pub fn ask_start(&mut self, now_ms: u64) -> bool {
+    pub fn begin_start_query(&mut self, now_ms: u64) -> bool {
         match self.knowledge {
-            Knowledge::Doubtful { ask_from_ms } if now_ms >= ask_from_ms => {
-                self.knowledge = Knowledge::Asked;
+            StartKnowledge::Uncertain { query_from_ms }
+                if now_ms >= query_from_ms =>
+            {
+                self.knowledge = StartKnowledge::Queried;
                 true
             }
             _ => false,
@@ -96,52 +98,56 @@
 
     /// Records which start is running. A new start invalidates orders for the
     /// previous one.
-    pub fn note_start(&mut self, now_ms: u64, told: TargetStart) -> StartNews {
-        let start = match told {
+    pub fn record_start(
+        &mut self,
+        now_ms: u64,
+        reported: TargetStart,
+    ) -> StartChange {
+        let start = match reported {
             TargetStart::Named(id) => Some(id),
             TargetStart::Untold if self.start.is_none() => None,
             // A target that has reported a start id keeps doing so; an answer
             // without one means that the target could not respond.
             TargetStart::Untold | TargetStart::Lost => {
-                let ask_from_ms = now_ms + ASK_AGAIN_MS;
-                self.knowledge = Knowledge::Doubtful { ask_from_ms };
-                return StartNews::Nothing;
+                let query_from_ms = now_ms + QUERY_INTERVAL_MS;
+                self.knowledge = StartKnowledge::Uncertain { query_from_ms };
+                return StartChange::Unchanged;
             }
         };
-        self.knowledge = Knowledge::Sure;
-        let news = match &self.start {
-            _ if !self.is_told => StartNews::First,
-            _ if start == self.start => StartNews::Nothing,
+        self.knowledge = StartKnowledge::Known;
+        let change = match &self.start {
+            _ if !self.is_reported => StartChange::First,
+            _ if start == self.start => StartChange::Unchanged,
             // The same start may have run before it reported its id.
-            None => StartNews::First,
-            Some(_) => StartNews::Another,
+            None => StartChange::First,
+            Some(_) => StartChange::Restarted,
         };
-        self.is_told = true;
+        self.is_reported = true;
         self.start = start;
-        if news == StartNews::Another {
+        if change == StartChange::Restarted {
             let is_void = |order: &mut Order| order.guard.start.is_some();
             self.sent.take_if(is_void);
             self.open.take_if(is_void);
         }
-        news
+        change
     }
 
     /// Returns the guard for a new order when the target has begun `orders`
     /// orders; `None` if no order can be sent now.
     pub fn guard(&self, orders: u64) -> Option<OrderGuard> {
-        let is_free = self.is_start_sure() && self.sent.is_none();
+        let is_free = self.is_start_known() && self.sent.is_none();
         is_free.then(|| OrderGuard { start: self.start.clone(), orders })
     }
 
     /// Records that an order is being sent.
-    pub fn note_sent(&mut self, order: Order) {
+    pub fn record_sent(&mut self, order: Order) {
         self.sent = Some(order);
     }
 
     /// Records the outcome of the order that was sent with `guard`, when the
     /// target has begun `orders` orders. Returns the order; `None` if it is no
     /// longer pending.
-    pub fn note_outcome(
+    pub fn record_outcome(
         &mut self,
         guard: &OrderGuard,
         outcome: OrderOutcome,
@@ -151,7 +157,7 @@
         match outcome {
             OrderOutcome::Taken => self.open = None,
             OrderOutcome::Refused => {}
-            OrderOutcome::Misdirected => self.doubt_start(),
+            OrderOutcome::Misdirected => self.mark_start_uncertain(),
             OrderOutcome::Unanswered if orders > order.guard.orders => {}
             OrderOutcome::Unanswered => self.open = Some(order.clone()),
         }
@@ -161,7 +167,7 @@
     /// Treats the pending order as unanswered because the target has
     /// restarted: its answer may never arrive, and it may still be carried
     /// out.
-    pub fn note_lost_answer(&mut self) {
+    pub fn on_target_restart(&mut self) {
         if let Some(sent) = self.sent.take() {
             self.open = Some(sent);
         }
@@ -170,7 +176,7 @@
     /// Records the number of orders that the target has begun. Returns the
     /// version of an open order that can no longer be carried out, because it
     /// or its repetition has been.
-    pub fn note_count(&mut self, orders: u64) -> Option<u64> {
+    pub fn record_begun_count(&mut self, orders: u64) -> Option<u64> {
         let is_past = |order: &mut Order| orders > order.guard.orders;
         let open = self.open.take_if(is_past)?;
         // Its repetition has been refused by now, or is the order that was
@@ -187,7 +193,7 @@
     }
 
     /// Returns whether the current start of the target is known.
-    pub fn is_start_sure(&self) -> bool {
-        self.knowledge == Knowledge::Sure
+    pub fn is_start_known(&self) -> bool {
+        self.knowledge == StartKnowledge::Known
     }
 }
--- a/crates/raildale-core/src/swarm/reducer/questions.rs
+++ b/crates/raildale-core/src/swarm/reducer/requests.rs
@@ -8,7 +8,7 @@
 const WAITER_TIMEOUT_MS: u64 = 1_200;
 
 impl Swarm {
-    pub(super) fn asked(
+    pub(super) fn on_item_requested(
         &mut self,
         now_ms: u64,
         ticket: Ticket,
@@ -17,14 +17,14 @@
         hops: u32,
         effects: &mut Vec<Effect>,
     ) {
-        if self.chunk_count == 0 || self.is_past(version) {
+        if self.chunk_count == 0 || self.is_obsolete(version) {
             // The number of chunks is not known yet, or the version is no
             // longer of use here; other agents may have the item.
             let content = Content::Absent;
             effects.push(Effect::Answer { ticket, content });
             return;
         }
-        let held = self.open(version);
+        let held = self.version_entry(version);
         let content = match item {
             Item::Manifest => held.digests.clone().map(Content::Manifest),
             Item::Chunk(index) => {
@@ -36,7 +36,7 @@
             return;
         }
         let waiter =
-            Waiter { ticket, until_ms: now_ms + WAITER_TIMEOUT_MS, hops };
+            Waiter { ticket, deadline_ms: now_ms + WAITER_TIMEOUT_MS, hops };
         match held.slot_mut(item) {
             Some(slot) => slot.waiters.push(waiter),
             None => {
@@ -47,13 +47,13 @@
     }
 
     /// Returns whether a version is older than the served one and not held.
-    fn is_past(&self, version: u64) -> bool {
+    fn is_obsolete(&self, version: u64) -> bool {
         version < self.target.serves_version
             && !self.versions.contains_key(&version)
     }
 
     /// Answers all pending requests for a chunk, if it is held.
-    pub(super) fn hand_out(
+    pub(super) fn answer_waiters(
         &mut self,
         version: u64,
         index: u32,
@@ -78,7 +78,7 @@
     ) {
         for slot in self.versions.values_mut().flat_map(Version::slots_mut) {
             slot.waiters.retain(|waiter| {
-                let stays = waiter.until_ms > now_ms;
+                let stays = waiter.deadline_ms > now_ms;
                 if !stays {
                     let ticket = waiter.ticket;
                     let content = Content::Absent;
--- a/crates/raildale-core/src/swarm/reducer/change_over.rs
+++ b/crates/raildale-core/src/swarm/reducer/target_swap.rs
@@ -1,10 +1,10 @@
 //! Stages complete versions and changes the target over to them.
 
 use super::{
-    Effect, OrderGuard, OrderOutcome, RETRY_PAUSE_MOST_MS, RETRY_PAUSE_MS,
+    Effect, MAX_RETRY_PAUSE_MS, OrderGuard, OrderOutcome, RETRY_PAUSE_MS,
     Swarm, TargetStart, TargetState,
-    found::{Found, NextOrder},
-    orders::{Order, StartNews},
+    orders::{Order, StartChange},
+    prior_staging::{NextOrder, PriorStaging},
 };
 use crate::{
     log_event::LogEvent,
@@ -24,29 +24,29 @@
 
 impl Swarm {
     /// Queries which start of the target is running, if that is uncertain.
-    pub(super) fn ask_start(
+    pub(super) fn query_start(
         &mut self,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        if self.target.is_up && self.orders.ask_start(now_ms) {
+        if self.target.is_up && self.orders.begin_start_query(now_ms) {
             effects.push(Effect::QueryStart);
         }
     }
 
-    pub(super) fn start_told(
+    pub(super) fn on_target_start(
         &mut self,
         now_ms: u64,
         start: TargetStart,
         effects: &mut Vec<Effect>,
     ) {
         let detail = format!("start={start:?} orders={}", self.target.orders);
-        match self.orders.note_start(now_ms, start) {
-            StartNews::Nothing => return,
-            StartNews::First => {}
-            StartNews::Another => {
+        match self.orders.record_start(now_ms, start) {
+            StartChange::Unchanged => return,
+            StartChange::First => {}
+            StartChange::Restarted => {
                 // No order of an earlier agent names this start.
-                self.found = Found::Settled;
+                self.prior_staging = PriorStaging::Obsolete;
                 self.phase = SwapPhase::Idle;
                 self.not_before_ms = now_ms;
             }
@@ -54,19 +54,19 @@
         effects.push(Effect::Log(LogEvent::TargetStarted, detail));
     }
 
-    pub(super) fn target_told(
+    pub(super) fn on_target_state(
         &mut self,
         now_ms: u64,
         state: TargetState,
         effects: &mut Vec<Effect>,
     ) {
-        let is_news = state.is_up != self.target.is_up
+        let is_changed = state.is_up != self.target.is_up
             || state.serves_version != self.target.serves_version;
-        if self.is_born_again(state) {
-            self.begin_anew(now_ms, state, effects);
+        if self.has_restarted(state) {
+            self.on_target_restart(now_ms, state, effects);
         } else {
-            self.tell_unexpected_order(state, effects);
-            self.note_orders(now_ms, state);
+            self.log_unexpected_order(state, effects);
+            self.record_begun_orders(now_ms, state);
         }
         self.target = state;
         self.last_born_ms = state.born_ms.or(self.last_born_ms);
@@ -82,7 +82,7 @@
                 effects.push(Effect::Log(LogEvent::ActivationFailed, detail));
             }
         }
-        if is_news {
+        if is_changed {
             effects.push(Effect::Report);
         }
     }
@@ -90,7 +90,7 @@
     /// Returns whether the reported start time has changed since the last
     /// report: the target has restarted, whether or not its start id is a new
     /// one.
-    fn is_born_again(&self, state: TargetState) -> bool {
+    fn has_restarted(&self, state: TargetState) -> bool {
         let known_ms = self.last_born_ms;
         state.is_up && known_ms.is_some() && state.born_ms != known_ms
     }
@@ -98,15 +98,15 @@
     /// Handles a restart, after which nothing is staged in the target. An
     /// unanswered order may still match the target's state and be carried out,
     /// so it stays open.
-    fn begin_anew(
+    fn on_target_restart(
         &mut self,
         now_ms: u64,
         state: TargetState,
         effects: &mut Vec<Effect>,
     ) {
-        self.orders.doubt_start();
-        self.orders.note_lost_answer();
-        self.found = Found::Settled;
+        self.orders.mark_start_uncertain();
+        self.orders.on_target_restart();
+        self.prior_staging = PriorStaging::Obsolete;
         self.phase = SwapPhase::Idle;
         self.not_before_ms = now_ms;
         let detail = format!("born_ms={:?}", state.born_ms);
@@ -115,7 +115,7 @@
 
     /// Logs an order that the target has begun without an answer that reported
     /// it.
-    fn tell_unexpected_order(
+    fn log_unexpected_order(
         &self,
         state: TargetState,
         effects: &mut Vec<Effect>,
@@ -135,16 +135,17 @@
     /// Records the number of orders that the target has begun. If it has
     /// grown, an order without an answer may have been carried out, and no
     /// other order with that count can be.
-    fn note_orders(&mut self, now_ms: u64, state: TargetState) {
+    fn record_begun_orders(&mut self, now_ms: u64, state: TargetState) {
         let known = self.target.orders;
         if !state.is_up || state.orders < known {
-            self.orders.doubt_start();
+            self.orders.mark_start_uncertain();
             return;
         }
         if self.target.is_up && state.orders > known {
-            self.found = Found::Settled;
+            self.prior_staging = PriorStaging::Obsolete;
         }
-        let Some(carried_out) = self.orders.note_count(state.orders) else {
+        let Some(carried_out) = self.orders.record_begun_count(state.orders)
+        else {
             return;
         };
         match self.phase {
@@ -159,14 +160,19 @@
         }
     }
 
-    pub(super) fn staged(&mut self, now_ms: u64, version: u64, is_done: bool) {
+    pub(super) fn on_staged(
+        &mut self,
+        now_ms: u64,
+        version: u64,
+        is_done: bool,
+    ) {
         self.is_staging = false;
-        let SwapPhase::Draining { version: coming, since_ms, mut staging } =
+        let SwapPhase::Draining { version: next, since_ms, mut staging } =
             self.phase
         else {
             return;
         };
-        if coming != version {
+        if next != version {
             return;
         }
         if is_done {
@@ -178,7 +184,7 @@
         }
     }
 
-    pub(super) fn ordered(
+    pub(super) fn on_order_outcome(
         &mut self,
         now_ms: u64,
         guard: &OrderGuard,
@@ -186,16 +192,16 @@
         effects: &mut Vec<Effect>,
     ) {
         let orders = self.target.orders;
-        let noted = self.orders.note_outcome(guard, outcome, orders);
-        if noted.is_none() {
+        let pending = self.orders.record_outcome(guard, outcome, orders);
+        if pending.is_none() {
             return;
         }
         let pause_ms = match outcome {
             OrderOutcome::Taken => {
-                self.found = Found::Settled;
+                self.prior_staging = PriorStaging::Obsolete;
                 return;
             }
-            OrderOutcome::Refused => RETRY_PAUSE_MOST_MS,
+            OrderOutcome::Refused => MAX_RETRY_PAUSE_MS,
             OrderOutcome::Misdirected | OrderOutcome::Unanswered => {
                 RETRY_PAUSE_MS
             }
@@ -234,35 +240,34 @@
 
     fn begin_swap(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
         let served = self.target.serves_version;
-        let Some(coming) = self.coming_version(now_ms) else { return };
-        let is_stale = coming <= served || !self.target.is_up;
+        let Some(next) = self.next_version(now_ms) else { return };
+        let is_stale = next <= served || !self.target.is_up;
         let is_early = now_ms < self.not_before_ms;
         if is_stale || is_early || self.is_staging {
             return;
         }
         // The version of an open order may be staged again in any case.
         let is_open = self.orders.open_version(served).is_some();
-        if !is_open && !self.orders.is_start_sure() {
+        if !is_open && !self.orders.is_start_known() {
             return;
         }
-        if served > 0 && now_ms < self.turn_ms(served, coming) {
+        if served > 0 && now_ms < self.turn_ms(served, next) {
             return;
         }
         if self.next_order(now_ms) == NextOrder::Any {
-            self.found = Found::Settled;
+            self.prior_staging = PriorStaging::Obsolete;
         }
         let staging = Staging { begun_ms: now_ms, is_done: false };
         let since_ms = now_ms;
-        self.phase =
-            SwapPhase::Draining { version: coming, since_ms, staging };
-        let detail = format!("version={coming} serves={served}");
+        self.phase = SwapPhase::Draining { version: next, since_ms, staging };
+        let detail = format!("version={next} serves={served}");
         effects.push(Effect::Log(LogEvent::SwapBegun, detail));
         effects.push(Effect::Report);
-        self.stage(coming, effects);
+        self.stage(next, effects);
     }
 
     /// Returns the version to change over to, if all of its chunks are held.
-    fn coming_version(&self, now_ms: u64) -> Option<u64> {
+    fn next_version(&self, now_ms: u64) -> Option<u64> {
         let whole =
             |version: &Version| version.is_whole().then_some(version.number);
         match self.next_order(now_ms) {
@@ -276,12 +281,12 @@
 
     /// Returns when this target's turn for the oldest outstanding version
     /// begins.
-    fn turn_ms(&self, served: u64, coming: u64) -> u64 {
+    fn turn_ms(&self, served: u64, next: u64) -> u64 {
         let (rank, count) = self.sources.rank();
-        let held = self.versions.get(&coming);
+        let held = self.versions.get(&next);
         let whole_ms = held.and_then(|held| held.whole_ms).unwrap_or(0);
         self.named
-            .range(served + 1..=coming)
+            .range(served + 1..=next)
             .map(|(_, named_ms)| {
                 self.config.swap.turn_ms(*named_ms, whole_ms, rank, count)
             })
@@ -329,7 +334,7 @@
             false => LoadMethod::AfterRunning,
         };
         self.phase = SwapPhase::Loading { version, since_ms: now_ms, staging };
-        self.orders.note_sent(Order { version, guard: guard.clone() });
+        self.orders.record_sent(Order { version, guard: guard.clone() });
         effects.push(Effect::Order { version, method, guard });
     }
 }
--- a/crates/raildale-core/src/swarm/reducer/transfers.rs
+++ b/crates/raildale-core/src/swarm/reducer/transfers.rs
@@ -18,11 +18,11 @@
 /// milliseconds. With the few agents that fetch from the origin, such a chunk
 /// arrives 0.2 s after the request. A transfer from a source that is reported
 /// gone ends as soon as that is known.
-const WAITING_TIMEOUT_MS: u64 = 1_400;
+const INDIRECT_FETCH_TIMEOUT_MS: u64 = 1_400;
 
 /// The maximum number of concurrent transfers from the origin, however many
 /// connections it accepts.
-const ORIGIN_PARALLEL_MOST: usize = 4;
+const MAX_ORIGIN_TRANSFERS: usize = 4;
 
 /// The share of the origin's connections that agents use, in percent.
 /// Connections of machines that lost power count against the origin's limit
@@ -31,16 +31,16 @@
 
 /// The maximum number of concurrent transfers from sources that may have to
 /// obtain the item first. They use no bandwidth until they are answered.
-const WAITING_MOST: usize = 10;
+const MAX_WAITING_TRANSFERS: usize = 10;
 
 /// The queueing delay of the inbound link above which only one chunk at a time
 /// is requested, in milliseconds: a third of the shortest goal for a first
 /// event, and enough to keep the link busy between two answers.
-const QUEUE_MOST_MS: u64 = 130;
+const MAX_QUEUE_DELAY_MS: u64 = 130;
 
 /// The minimum time between two log lines on the progress of a version, in
 /// milliseconds.
-const PROGRESS_EVERY_MS: u64 = 1_000;
+const PROGRESS_LOG_INTERVAL_MS: u64 = 1_000;
 
 impl Swarm {
     /// Starts transfers: first items that other agents wait for, then items
@@ -49,30 +49,30 @@
     pub(super) fn fetch(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
         let served = self.target.serves_version;
         let needed = self.needed_versions(now_ms, served);
-        let sought = self.sought_manifests();
+        let prior = self.prior_manifests();
         // The chunks of the served version may be staged in the target. With
         // its manifest the agent can identify them and is a source of them.
-        let served_any = (served > 0).then_some(served);
-        let known = needed.iter().copied().chain(sought.clone());
-        for version in known.chain(served_any) {
-            self.open(version);
+        let served_version = (served > 0).then_some(served);
+        let known = needed.iter().copied().chain(prior.clone());
+        for version in known.chain(served_version) {
+            self.version_entry(version);
         }
-        let room = self.room(self.sources.origin_askers());
+        let budget = self.budget(self.sources.origin_clients());
         let sources = &self.sources;
-        let mut starter = Starter { now_ms, sources, room, effects };
+        let mut starter = Starter { now_ms, sources, budget, effects };
         for (number, held) in &mut self.versions {
             // Transfers of a newer version must not delay an older one.
             // Otherwise, with the origin unreachable, 204 agents waited for
             // chunks of the second version and completed the first one, which
             // was distributed over all of them, 2 s late.
-            starter.room.take_busy(held);
+            starter.budget.subtract_active(held);
             let is_needed = needed.contains(number);
             if held.digests.is_some() {
                 starter.start_chunks(held, is_needed);
             } else if is_needed
                 || !held.manifest.waiters.is_empty()
                 || *number == served
-                || sought.contains(number)
+                || prior.contains(number)
             {
                 starter.start(held, Item::Manifest);
             }
@@ -81,22 +81,26 @@
 
     /// Returns the transfers that may start, counting only active transfers
     /// from the origin, which is shared by `agents` agents.
-    fn room(&self, agents: usize) -> Room {
+    fn budget(&self, agents: usize) -> Budget {
         let from_origin: usize =
             self.versions.values().map(Version::fetches_from_origin).sum();
         let usable = self.origin_connections * ORIGIN_SHARE_PERCENT / 100;
-        let most = (usable / agents.max(1)).clamp(1, ORIGIN_PARALLEL_MOST);
+        let max_from_origin =
+            (usable / agents.max(1)).clamp(1, MAX_ORIGIN_TRANSFERS);
         // A longer queue must not grow, whoever waits for an item: requests to
         // the target share it, and its contents cannot be recalled.
-        let queue_most = match self.queue_ms > QUEUE_MOST_MS {
+        let queue_limit = match self.queue_delay_ms > MAX_QUEUE_DELAY_MS {
             true => 1,
             false => usize::MAX,
         };
-        Room {
-            at_once: self.window.size().min(queue_most),
-            waiting: self.window.scale(WAITING_MOST).min(queue_most),
-            awaited: WAITING_MOST.min(queue_most),
-            from_origin: most.saturating_sub(from_origin),
+        Budget {
+            from_holders: self.window.size().min(queue_limit),
+            from_others: self
+                .window
+                .scale(MAX_WAITING_TRANSFERS)
+                .min(queue_limit),
+            requested: MAX_WAITING_TRANSFERS.min(queue_limit),
+            from_origin: max_from_origin.saturating_sub(from_origin),
         }
     }
 
@@ -117,11 +121,11 @@
             .named
             .range(served + 1..wanted)
             .filter(|(number, named_ms)| {
-                is_stalled || !self.is_overtaken(**number, **named_ms)
+                is_stalled || !self.is_superseded(**number, **named_ms)
             })
             .map(|(number, _)| *number);
         let mut needed: Vec<u64> = older.collect();
-        needed.extend(self.found_version());
+        needed.extend(self.prior_version());
         needed.push(wanted);
         needed.sort_unstable();
         needed.dedup();
@@ -132,7 +136,7 @@
     /// everywhere within the bound of the older one, which is then skipped.
     /// All agents decide this alike because it depends only on the times of
     /// naming. Otherwise both are fetched, the older one first.
-    fn is_overtaken(&self, number: u64, named_ms: u64) -> bool {
+    fn is_superseded(&self, number: u64, named_ms: u64) -> bool {
         let swap = &self.config.swap;
         let bound_ms = named_ms + swap.bound_ms;
         self.named
@@ -144,7 +148,7 @@
     pub(super) fn expire_transfers(&mut self, now_ms: u64) {
         let sources = &self.sources;
         let is_over = |fetch: Fetch| {
-            fetch.until_ms <= now_ms || sources.is_lost(fetch.source)
+            fetch.deadline_ms <= now_ms || sources.is_unavailable(fetch.source)
         };
         for slot in self.versions.values_mut().flat_map(Version::slots_mut) {
             if slot.fetch.is_some_and(is_over) {
@@ -156,18 +160,19 @@
 
     /// Logs the progress of the wanted version once a second until it is
     /// complete.
-    pub(super) fn tell_progress(
+    pub(super) fn log_progress(
         &mut self,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
         let wanted = self.wanted();
-        let is_due = now_ms >= self.progress_told_ms + PROGRESS_EVERY_MS;
+        let is_due =
+            now_ms >= self.progress_logged_ms + PROGRESS_LOG_INTERVAL_MS;
         let Some(held) = self.versions.get(&wanted) else { return };
         if !is_due || held.is_whole() || self.target.serves_version >= wanted {
             return;
         }
-        self.progress_told_ms = now_ms;
+        self.progress_logged_ms = now_ms;
         let failures: u32 = held.slots.iter().map(|slot| slot.failures).sum();
         let waiters: usize =
             held.slots.iter().map(|slot| slot.waiters.len()).sum();
@@ -175,7 +180,7 @@
             "version={wanted} manifest={} held={} of={} fetching={} \
              from_origin={} failures={failures} waiters={waiters} window={}",
             held.digests.is_some(),
-            held.held(),
+            held.held_count(),
             held.slots.len(),
             held.fetches(true) + held.fetches(false),
             held.fetches_from_origin(),
@@ -187,32 +192,32 @@
 
 /// The number of transfers that may still start, by kind of source.
 #[derive(Clone, Copy, Debug)]
-struct Room {
+struct Budget {
     /// From agents that hold the whole version.
-    at_once: usize,
+    from_holders: usize,
     /// From sources that may have to obtain the item first.
-    waiting: usize,
+    from_others: usize,
     /// The same, for items that other agents wait for. A reduced window does
     /// not limit these: when an owner's window had shrunk to 1 in its first
     /// fill, one such transfer at a time delayed its whole data centre by 2 s.
-    awaited: usize,
+    requested: usize,
     /// From the origin.
     from_origin: usize,
 }
 
-impl Room {
+impl Budget {
     /// Subtracts the active transfers of a version.
-    fn take_busy(&mut self, held: &Version) {
-        let take = |room: &mut usize, busy: usize| {
-            *room = room.saturating_sub(busy);
+    fn subtract_active(&mut self, held: &Version) {
+        let take = |budget: &mut usize, active: usize| {
+            *budget = budget.saturating_sub(active);
         };
-        take(&mut self.at_once, held.fetches(false));
-        take(&mut self.waiting, held.fetches(true));
-        take(&mut self.awaited, held.fetches_awaited());
+        take(&mut self.from_holders, held.fetches(false));
+        take(&mut self.from_others, held.fetches(true));
+        take(&mut self.requested, held.requested_fetches());
     }
 
-    fn is_full(self) -> bool {
-        self.at_once == 0 && self.waiting == 0 && self.awaited == 0
+    fn is_exhausted(self) -> bool {
+        self.from_holders == 0 && self.from_others == 0 && self.requested == 0
     }
 }
 
@@ -221,7 +226,7 @@
 struct Starter<'a> {
     now_ms: u64,
     sources: &'a Sources,
-    room: Room,
+    budget: Budget,
     effects: &'a mut Vec<Effect>,
 }
 
@@ -234,14 +239,15 @@
         if is_needed {
             self.start_from_origin(held);
         }
-        for is_awaited in [true, false] {
+        for is_requested in [true, false] {
             for index in 0..held.slots.len() {
                 let slot = &held.slots[index];
-                let awaited = !slot.waiters.is_empty();
-                let is_due = awaited == is_awaited && (awaited || is_needed);
-                let is_open =
+                let requested = !slot.waiters.is_empty();
+                let is_due =
+                    requested == is_requested && (requested || is_needed);
+                let is_startable =
                     held.chunk(index).is_none() && slot.fetch.is_none();
-                if is_due && is_open && !self.room.is_full() {
+                if is_due && is_startable && !self.budget.is_exhausted() {
                     self.start(held, Item::Chunk(index as u32));
                 }
             }
@@ -252,12 +258,12 @@
     /// not other agents wait for them: the origin may become unreachable.
     fn start_from_origin(&mut self, held: &mut Version) {
         for index in 0..held.slots.len() {
-            if self.room.from_origin == 0 {
+            if self.budget.from_origin == 0 {
                 return;
             }
             let item = Item::Chunk(index as u32);
-            let is_open = held.chunk(index).is_none();
-            if is_open && self.sources.brings_in(held.number, item) {
+            let is_missing = held.chunk(index).is_none();
+            if is_missing && self.sources.is_origin_owner(held.number, item) {
                 self.start(held, item);
             }
         }
@@ -272,23 +278,23 @@
             return;
         }
         let hops = slot.waiters.iter().map(|w| w.hops + 1).max().unwrap_or(0);
-        let source = self.pick(version, item, slot.failures, hops);
+        let source = self.pick_source(version, item, slot.failures, hops);
         let may_wait = !self.sources.holds(source, version);
-        let is_awaited = !slot.waiters.is_empty();
-        if !self.take_room(item, source, may_wait, is_awaited) {
+        let is_requested = !slot.waiters.is_empty();
+        if !self.try_reserve(item, source, may_wait, is_requested) {
             return;
         }
-        let patience_ms = match may_wait {
-            true => WAITING_TIMEOUT_MS,
+        let timeout_ms = match may_wait {
+            true => INDIRECT_FETCH_TIMEOUT_MS,
             false => FETCH_TIMEOUT_MS,
         };
-        let until_ms = self.now_ms + patience_ms;
-        slot.fetch = Some(Fetch { source, until_ms, may_wait });
+        let deadline_ms = self.now_ms + timeout_ms;
+        slot.fetch = Some(Fetch { source, deadline_ms, may_wait });
         self.effects.push(Effect::Fetch { version, item, source, hops });
     }
 
     /// Selects a source, given the remaining budget for the origin.
-    fn pick(
+    fn pick_source(
         &self,
         version: u64,
         item: Item,
@@ -296,7 +302,7 @@
         hops: u32,
     ) -> Source {
         let source = self.sources.pick(version, item, failures, hops);
-        if source == Source::Origin && self.room.from_origin == 0 {
+        if source == Source::Origin && self.budget.from_origin == 0 {
             // A retry that would go directly to the origin need not wait for
             // it.
             let failures = failures + TRIES_PER_SOURCE;
@@ -306,18 +312,18 @@
     }
 
     /// Reserves the budget for one transfer. Returns whether any was left.
-    fn take_room(
+    fn try_reserve(
         &mut self,
         item: Item,
         source: Source,
         may_wait: bool,
-        is_awaited: bool,
+        is_requested: bool,
     ) -> bool {
         if source == Source::Origin {
-            if self.room.from_origin == 0 {
+            if self.budget.from_origin == 0 {
                 return false;
             }
-            self.room.from_origin -= 1;
+            self.budget.from_origin -= 1;
             return true;
         }
         if item == Item::Manifest {
@@ -325,15 +331,15 @@
             // never waits behind the chunks of another version.
             return true;
         }
-        let place = match (may_wait, is_awaited) {
-            (true, true) => &mut self.room.awaited,
-            (true, false) => &mut self.room.waiting,
-            (false, _) => &mut self.room.at_once,
+        let remaining = match (may_wait, is_requested) {
+            (true, true) => &mut self.budget.requested,
+            (true, false) => &mut self.budget.from_others,
+            (false, _) => &mut self.budget.from_holders,
         };
-        if *place == 0 {
+        if *remaining == 0 {
             return false;
         }
-        *place -= 1;
+        *remaining -= 1;
         true
     }
 }
--- a/crates/raildale-core/src/swarm/sources.rs
+++ b/crates/raildale-core/src/swarm/sources.rs
@@ -45,26 +45,26 @@
 /// One in this many tries goes directly to the origin. A smaller number
 /// exhausts the origin's connections when the whole fleet starts empty, as
 /// each agent then requests everything from the origin.
-const STRAIGHT_EVERY: u32 = 8;
+const DIRECT_TRY_INTERVAL: u32 = 8;
 
 /// The maximum number of agents of a large fleet whose retries may go directly
 /// to the origin at a time. This number saturates the origin's link.
-const STRAIGHT_MOST: usize = 8;
+const MAX_DIRECT_AGENTS: usize = 8;
 
 /// The maximum number of agents that fetch chunks from the origin. Half as
 /// many saturate its link; the others send while one opens a connection.
-const ORIGIN_OWNERS_MOST: usize = 8;
+const MAX_ORIGIN_OWNERS: usize = 8;
 
 /// The number of tries at one source before the next one is selected.
 pub const TRIES_PER_SOURCE: u32 = 2;
 
 /// The maximum number of agents that a request passes before it goes to the
 /// origin: the owner in the data centre and the owner for the origin.
-const MOST_HOPS: u32 = 2;
+const MAX_HOPS: u32 = 2;
 
 /// The same limit where chunks are forwarded along a tree. The depth of the
 /// tree is added: ten for a thousand agents.
-const MOST_TREE_HOPS: u32 = 12;
+const MAX_TREE_HOPS: u32 = 12;
 
 /// The live agents, as seen by one of them.
 #[derive(Debug)]
@@ -75,23 +75,23 @@
     /// All agents, ordered so that neighbours are in different data centres.
     order: Vec<IpAddr>,
     /// Agents that fetch chunks from the origin.
-    owners_of_all: Vec<IpAddr>,
+    origin_owners: Vec<IpAddr>,
     /// The distribution trees of the own data centre, if it is large.
     trees: Option<Trees>,
 }
 
 /// The minimum number of agents for which slow agents are counted before any
 /// is treated as slow.
-const MANY_AGENTS: usize = 48;
+const LARGE_FLEET_AGENTS: usize = 48;
 
 /// Clears the slow flags of a large fleet if more than a third of its agents
 /// are slow. After a loss of all state every link is full of chunks, so
 /// slowness says nothing about a single agent. If all were treated as slow, no
 /// agent would own any chunk, and each of 204 agents would request everything
 /// from the origin.
-fn forget_slow_if_most(peers: &mut [Peer]) {
+fn clear_widespread_slowness(peers: &mut [Peer]) {
     let slow = peers.iter().filter(|peer| peer.is_slow).count();
-    if peers.len() >= MANY_AGENTS && slow * 3 > peers.len() {
+    if peers.len() >= LARGE_FLEET_AGENTS && slow * 3 > peers.len() {
         peers.iter_mut().for_each(|peer| peer.is_slow = false);
     }
 }
@@ -104,13 +104,13 @@
             data_centre,
             peers: Vec::new(),
             order: Vec::new(),
-            owners_of_all: Vec::new(),
+            origin_owners: Vec::new(),
             trees: None,
         }
     }
 
     /// Returns whether a list of live agents has been received.
-    pub fn is_known(&self) -> bool {
+    pub fn has_peers(&self) -> bool {
         !self.peers.is_empty()
     }
 
@@ -118,7 +118,7 @@
     /// marked as slow, so that it owns no chunk: the other agents do not know
     /// of this one.
     pub fn set_peers(&mut self, mut peers: Vec<Peer>) {
-        forget_slow_if_most(&mut peers);
+        clear_widespread_slowness(&mut peers);
         if peers.iter().all(|peer| peer.ip != self.own_ip) {
             peers.push(Peer {
                 ip: self.own_ip,
@@ -131,21 +131,23 @@
         peers.sort_by_key(|peer| peer.ip);
         peers.dedup_by_key(|peer| peer.ip);
         self.peers = peers;
-        self.order = self.in_turn();
-        let is_able = |ip: &&IpAddr| !self.is_lost(Source::Peer(**ip));
-        let able = self.order.iter().filter(is_able);
-        self.owners_of_all = able.take(ORIGIN_OWNERS_MOST).copied().collect();
-        self.grow_trees();
+        self.order = self.interleaved_by_data_centre();
+        let is_eligible =
+            |ip: &&IpAddr| !self.is_unavailable(Source::Peer(**ip));
+        let eligible = self.order.iter().filter(is_eligible);
+        self.origin_owners =
+            eligible.take(MAX_ORIGIN_OWNERS).copied().collect();
+        self.update_trees();
     }
 
     /// Recomputes which agents forward chunks in the own data centre: those
     /// that are not slow and do not fetch from the origin.
-    fn grow_trees(&mut self) {
-        let here = self.of(&self.data_centre);
-        let inner: Vec<IpAddr> = here
+    fn update_trees(&mut self) {
+        let local_agents = self.agents_in(&self.data_centre);
+        let inner: Vec<IpAddr> = local_agents
             .filter(|peer| !peer.is_slow)
             .map(|peer| peer.ip)
-            .filter(|ip| !self.owners_of_all.contains(ip))
+            .filter(|ip| !self.origin_owners.contains(ip))
             .collect();
         let is_same =
             self.trees.as_ref().is_some_and(|trees| trees.inner() == inner);
@@ -165,21 +167,21 @@
     /// Returns the number of agents that share the origin's connections: all
     /// agents, or with trees the owners and as many agents selected for direct
     /// retries.
-    pub fn origin_askers(&self) -> usize {
+    pub fn origin_clients(&self) -> usize {
         match self.trees {
-            Some(_) => ORIGIN_OWNERS_MOST + STRAIGHT_MOST,
+            Some(_) => MAX_ORIGIN_OWNERS + MAX_DIRECT_AGENTS,
             None => self.order.len().max(1),
         }
     }
 
     /// All agents, ordered so that neighbours are in different data centres.
-    fn in_turn(&self) -> Vec<IpAddr> {
+    fn interleaved_by_data_centre(&self) -> Vec<IpAddr> {
         let mut order: Vec<(usize, &Name, IpAddr)> = self
             .peers
             .iter()
             .map(|peer| {
                 let place = self
-                    .of(&peer.data_centre)
+                    .agents_in(&peer.data_centre)
                     .position(|other| other.ip == peer.ip)
                     .unwrap_or(0);
                 (place, &peer.data_centre, peer.ip)
@@ -190,7 +192,7 @@
     }
 
     /// Returns whether a source is slow or missing from the list of agents.
-    pub fn is_lost(&self, source: Source) -> bool {
+    pub fn is_unavailable(&self, source: Source) -> bool {
         match source {
             Source::Origin => false,
             Source::Peer(ip) => {
@@ -227,27 +229,28 @@
         };
         // A source that did not answer in time probably has the item soon
         // after, so it is tried again before another one is selected.
-        let is_straight = failures % STRAIGHT_EVERY == STRAIGHT_EVERY - 1
-            && self.may_go_straight(key, failures);
+        let is_direct = failures % DIRECT_TRY_INTERVAL
+            == DIRECT_TRY_INTERVAL - 1
+            && self.may_go_to_origin(key, failures);
         let failures = failures / TRIES_PER_SOURCE;
-        let most_hops = match self.trees {
-            Some(_) => MOST_TREE_HOPS,
-            None => MOST_HOPS,
+        let max_hops = match self.trees {
+            Some(_) => MAX_TREE_HOPS,
+            None => MAX_HOPS,
         };
-        if hops >= most_hops || is_straight {
+        if hops >= max_hops || is_direct {
             return Source::Origin;
         }
-        let turn = key + self.own_place() + failures as usize;
-        let here = self.of(&self.data_centre);
-        if let Some(peer) = self.holder(here, version, turn) {
+        let rotation = key + self.own_index() + failures as usize;
+        let local_agents = self.agents_in(&self.data_centre);
+        if let Some(peer) = self.holder(local_agents, version, rotation) {
             return Source::Peer(peer);
         }
         // The last agent to which the others turn must not request the item
         // from one of them, not even after failed tries: each would wait for
         // the other. Otherwise, when the origin became unreachable, 4 chunks
         // of 64 stayed missing for that reason alone.
-        if self.owner_of_all(key) == Some(self.own_ip) {
-            return self.pick_far(version, key, 0);
+        if self.origin_owner(key) == Some(self.own_ip) {
+            return self.pick_remote(version, key, 0);
         }
         if let Some(trees) = &self.trees {
             // Failed tries go up the tree and then start at the parent again.
@@ -255,55 +258,56 @@
             // for this one.
             return match trees.ancestor(key, failures as usize) {
                 Some(ip) => Source::Peer(ip),
-                None => self.pick_far(version, key, 0),
+                None => self.pick_remote(version, key, 0),
             };
         }
-        let owner_here =
+        let local_owner =
             self.owner(&self.data_centre, key + failures as usize);
-        match owner_here {
+        match local_owner {
             Some(owner) if owner != self.own_ip && hops == 0 => {
                 Source::Peer(owner)
             }
-            _ => self.pick_far(version, key, failures),
+            _ => self.pick_remote(version, key, failures),
         }
     }
 
     /// Returns whether a retry may go directly to the origin. In a large data
     /// centre only pseudo-randomly selected agents may, about
-    /// [`STRAIGHT_MOST`] of all. If 204 agents sent one of eight tries each to
+    /// [`MAX_DIRECT_AGENTS`] of all. If 204 agents sent one of eight tries each to
     /// an unreachable origin, on its return it would send 34 copies and serve
     /// nobody in time.
-    fn may_go_straight(&self, key: usize, failures: u32) -> bool {
+    fn may_go_to_origin(&self, key: usize, failures: u32) -> bool {
         let Some(trees) = &self.trees else { return true };
-        let drawn = trees.draw(key + failures as usize) % self.order.len();
-        drawn < STRAIGHT_MOST
+        let drawn =
+            trees.pseudo_random(key + failures as usize) % self.order.len();
+        drawn < MAX_DIRECT_AGENTS
     }
 
     /// Returns whether this agent fetches an item from the origin, because it
     /// is the item's owner and no agent holds the version yet.
-    pub fn brings_in(&self, version: u64, item: Item) -> bool {
+    pub fn is_origin_owner(&self, version: u64, item: Item) -> bool {
         self.pick(version, item, 0, 0) == Source::Origin
     }
 
     /// Selects a source outside the own data centre.
-    fn pick_far(&self, version: u64, key: usize, failures: u32) -> Source {
-        let turn = key + failures as usize;
-        if let Some(peer) = self.holder(self.peers.iter(), version, turn) {
+    fn pick_remote(&self, version: u64, key: usize, failures: u32) -> Source {
+        let rotation = key + failures as usize;
+        if let Some(peer) = self.holder(self.peers.iter(), version, rotation) {
             return Source::Peer(peer);
         }
-        match self.owner_of_all(turn) {
+        match self.origin_owner(rotation) {
             Some(owner) if owner != self.own_ip => Source::Peer(owner),
             _ => Source::Origin,
         }
     }
 
-    /// Selects, by `turn`, an agent among those that hold a version and are
+    /// Selects, by `rotation`, an agent among those that hold a version and are
     /// not slow.
     fn holder<'a>(
         &self,
         peers: impl Iterator<Item = &'a Peer>,
         version: u64,
-        turn: usize,
+        rotation: usize,
     ) -> Option<IpAddr> {
         let holders: Vec<IpAddr> = peers
             .filter(|peer| {
@@ -313,16 +317,17 @@
             })
             .map(|peer| peer.ip)
             .collect();
-        let place = turn.checked_rem(holders.len())?;
+        let place = rotation.checked_rem(holders.len())?;
         Some(holders[place])
     }
 
     /// Returns the agent of a data centre that owns an item there.
     fn owner(&self, data_centre: &Name, key: usize) -> Option<IpAddr> {
-        let able = || self.of(data_centre).filter(|peer| !peer.is_slow);
-        let count = able().count();
+        let eligible =
+            || self.agents_in(data_centre).filter(|peer| !peer.is_slow);
+        let count = eligible().count();
         let place = key.checked_rem(count)?;
-        able().nth(place).map(|peer| peer.ip)
+        eligible().nth(place).map(|peer| peer.ip)
     }
 
     /// Returns the agent that fetches an item from the origin: one of a few,
@@ -332,18 +337,18 @@
     /// many of them every chunk arrives late and all at once. Each of 45
     /// agents waited 1.2 s for its first chunk, about as long as other agents
     /// wait for it before they ask the origin themselves.
-    fn owner_of_all(&self, key: usize) -> Option<IpAddr> {
-        let owners = &self.owners_of_all;
+    fn origin_owner(&self, key: usize) -> Option<IpAddr> {
+        let owners = &self.origin_owners;
         let place = key.checked_rem(owners.len())?;
         Some(owners[place])
     }
 
-    fn own_place(&self) -> usize {
+    fn own_index(&self) -> usize {
         self.peers.iter().position(|peer| peer.ip == self.own_ip).unwrap_or(0)
     }
 
     /// Iterates over the agents of a data centre.
-    fn of<'a>(
+    fn agents_in<'a>(
         &'a self,
         data_centre: &'a Name,
     ) -> impl Iterator<Item = &'a Peer> {
--- a/crates/raildale-core/src/swarm/tree.rs
+++ b/crates/raildale-core/src/swarm/tree.rs
@@ -14,7 +14,7 @@
 
 /// Up to this number of agents, the owner of a chunk sends it to all of them
 /// directly: it is the number of concurrent requests of one agent.
-const STAR_MOST: usize = 10;
+const MAX_STAR_AGENTS: usize = 10;
 
 /// The number of children of a tree node. With two, half of the agents send
 /// twice the volume that they receive, and each chunk's tree has a different
@@ -28,15 +28,19 @@
     /// Agents that forward chunks, in address order.
     inner: Vec<IpAddr>,
     /// The ancestors of this agent by chunk, nearest first.
-    above: RefCell<HashMap<usize, Vec<IpAddr>>>,
+    ancestors: RefCell<HashMap<usize, Vec<IpAddr>>>,
 }
 
 impl Trees {
     /// Creates the trees over `inner`. Returns `None` if there are too few
     /// agents to need trees.
     pub fn new(own_ip: IpAddr, inner: Vec<IpAddr>) -> Option<Trees> {
-        let above = RefCell::default();
-        (inner.len() > STAR_MOST).then_some(Trees { own_ip, inner, above })
+        let ancestors = RefCell::default();
+        (inner.len() > MAX_STAR_AGENTS).then_some(Trees {
+            own_ip,
+            inner,
+            ancestors,
+        })
     }
 
     /// Returns the agents that forward chunks.
@@ -48,35 +52,36 @@
     /// Wraps around to the parent after the root; `None` if this agent is the
     /// root.
     pub fn ancestor(&self, key: usize, step: usize) -> Option<IpAddr> {
-        let mut above = self.above.borrow_mut();
-        let known = above.entry(key).or_insert_with(|| self.all_above(key));
+        let mut ancestors = self.ancestors.borrow_mut();
+        let known =
+            ancestors.entry(key).or_insert_with(|| self.ancestors_of(key));
         let place = step.checked_rem(known.len())?;
         Some(known[place])
     }
 
     /// Returns a pseudo-random number derived from this agent and `key`.
-    pub fn draw(&self, key: usize) -> usize {
+    pub fn pseudo_random(&self, key: usize) -> usize {
         rank_hash(self.own_ip, key) as usize
     }
 
-    fn all_above(&self, key: usize) -> Vec<IpAddr> {
-        let mut order: Vec<(u64, IpAddr)> =
+    fn ancestors_of(&self, key: usize) -> Vec<IpAddr> {
+        let mut sorted: Vec<(u64, IpAddr)> =
             self.inner.iter().map(|ip| (rank_hash(*ip, key), *ip)).collect();
-        order.sort_unstable();
-        let own = order.iter().position(|(_, ip)| *ip == self.own_ip);
-        let mut above = Vec::new();
+        sorted.sort_unstable();
+        let own = sorted.iter().position(|(_, ip)| *ip == self.own_ip);
+        let mut ancestors = Vec::new();
         // An agent that does not forward chunks is the child of a
         // pseudo-random inner node.
         let mut place = own.unwrap_or_else(|| {
-            let drawn = self.draw(key) % order.len();
-            above.push(order[drawn].1);
+            let drawn = self.pseudo_random(key) % sorted.len();
+            ancestors.push(sorted[drawn].1);
             drawn
         });
         while place > 0 {
             place = (place - 1) / FAN_OUT;
-            above.push(order[place].1);
+            ancestors.push(sorted[place].1);
         }
-        above
+        ancestors
     }
 }
 
--- a/crates/raildale-core/src/swarm/version.rs
+++ b/crates/raildale-core/src/swarm/version.rs
@@ -14,7 +14,7 @@
     /// The source of the transfer.
     pub source: Source,
     /// When the transfer times out.
-    pub until_ms: u64,
+    pub deadline_ms: u64,
     /// Whether the source may have to obtain the item itself before it can
     /// answer.
     pub may_wait: bool,
@@ -27,7 +27,7 @@
     pub ticket: Ticket,
     /// When the request is answered with
     /// [`Content::Absent`](super::reducer::Content::Absent).
-    pub until_ms: u64,
+    pub deadline_ms: u64,
     /// The number of agents that forwarded the request before.
     pub hops: u32,
 }
@@ -59,7 +59,7 @@
     /// The transfer state of each chunk, in order.
     pub slots: Vec<Slot>,
     chunks: Vec<Option<Bytes>>,
-    held: usize,
+    held_count: usize,
     /// The number of consecutive chunks received directly from the origin that
     /// did not match their digests. The manifest itself may be corrupt.
     pub origin_mismatches: u32,
@@ -79,7 +79,7 @@
             manifest: Slot::default(),
             slots: (0..chunk_count).map(|_| Slot::default()).collect(),
             chunks: vec![None; chunk_count],
-            held: 0,
+            held_count: 0,
             origin_mismatches: 0,
             whole_ms: None,
             progress_ms: 0,
@@ -88,12 +88,12 @@
 
     /// Returns whether the manifest and every chunk are held.
     pub fn is_whole(&self) -> bool {
-        self.digests.is_some() && self.held == self.chunks.len()
+        self.digests.is_some() && self.held_count == self.chunks.len()
     }
 
     /// Returns the number of chunks held.
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn held_count(&self) -> usize {
+        self.held_count
     }
 
     /// Returns a chunk; `None` if it is not held or there is no such chunk.
@@ -108,7 +108,7 @@
 
     /// Stores a chunk if it matches its digest. Returns whether it was stored;
     /// always `false` while the manifest is unknown.
-    pub fn keep(&mut self, index: usize, data: Bytes) -> bool {
+    pub fn insert_verified(&mut self, index: usize, data: Bytes) -> bool {
         let Some(digest) =
             self.digests.as_ref().and_then(|digests| digests.get(index))
         else {
@@ -118,7 +118,7 @@
             return false;
         }
         if self.chunks[index].is_none() {
-            self.held += 1;
+            self.held_count += 1;
         }
         self.chunks[index] = Some(data);
         true
@@ -153,10 +153,10 @@
     /// Returns the number of active chunk transfers from other agents that
     /// have pending requests and whose source may have to obtain the chunk
     /// first.
-    pub fn fetches_awaited(&self) -> usize {
-        let awaited =
+    pub fn requested_fetches(&self) -> usize {
+        let requested =
             self.slots.iter().filter(|slot| !slot.waiters.is_empty());
-        awaited
+        requested
             .filter_map(|slot| slot.fetch)
             .filter(|fetch| fetch.source != Source::Origin && fetch.may_wait)
             .count()
--- a/crates/raildale-core/tests/swarm_large.rs
+++ b/crates/raildale-core/tests/swarm_large.rs
@@ -119,7 +119,7 @@
         let mut sources = Sources::new(ip(machine), centre(machine));
         sources.set_peers(peers.clone());
         straight += (0..48)
-            .filter(|index| sources.brings_in(2, Item::Chunk(*index)))
+            .filter(|index| sources.is_origin_owner(2, Item::Chunk(*index)))
             .count();
     }
     assert_eq!(straight, 48, "each chunk has one agent that brings it in");
