--- a/crates/raildale-core/src/catalog/mirror.rs
+++ b/crates/raildale-core/src/catalog/mirror.rs
@@ -1,14 +1,14 @@
-//! What is known of one kind of object.
+//! The local copy of one kind of object.
 
 use std::collections::BTreeMap;
 
 use super::{Change, Progress, Snapshot, Stamp, StoredObject};
 use crate::Name;
 
-/// What is known of one kind.
+/// The local copy of one kind.
 ///
-/// Between eras an object only gives way to one that has come as far: a copy
-/// from which the store was restored takes nothing back.
+/// Between eras an object is only replaced by one whose progress is not
+/// behind: a copy from which the store was restored reverts nothing.
 #[derive(Debug, Default)]
 pub struct Mirror {
     stamp: Stamp,
@@ -17,27 +17,27 @@
 }
 
 impl Mirror {
-    /// Nothing known yet.
+    /// Creates an empty mirror.
     pub fn new() -> Mirror {
         Mirror::default()
     }
 
-    /// The store's change up to which the kind is known.
+    /// Returns the last change of the store that is included.
     pub fn stamp(&self) -> Stamp {
         self.stamp
     }
 
-    /// Whether anything has been heard yet.
+    /// Returns whether any snapshot has been received.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
 
-    /// An object by its name.
+    /// Returns an object by its name.
     pub fn get(&self, name: &str) -> Option<&StoredObject> {
         self.objects.get(name)
     }
 
-    /// All of it, to hand on.
+    /// Returns all objects, to forward them to other processes.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             stamp: self.stamp,
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Takes over a whole kind; returns what changed by it. Of an older
-    /// snapshot only what has come further is taken.
+    /// Replaces the contents with a snapshot and returns the resulting
+    /// changes. From an older snapshot only objects with further progress are
+    /// taken.
     pub fn replace(
         &mut self,
         snapshot: Snapshot,
@@ -74,8 +75,9 @@
         known.into_keys().map(leave).chain(puts).collect()
     }
 
-    /// Takes over changes that lead up to `stamp`; returns those that were
-    /// news. Changes of another era do not lead there from what is known.
+    /// Applies changes that lead up to `stamp` and returns those that had an
+    /// effect. Changes of another era or up to an older stamp are ignored:
+    /// they do not continue the known history.
     pub fn apply(
         &mut self,
         stamp: Stamp,
@@ -90,8 +92,8 @@
         changes.into_iter().filter(is_news).collect()
     }
 
-    /// Takes over those of some objects that have come further than what is
-    /// known under their names.
+    /// Applies those objects that supersede the known objects of the same
+    /// names, and returns the changes.
     fn take_further(
         &mut self,
         objects: Vec<StoredObject>,
@@ -126,8 +128,10 @@
     }
 }
 
-/// Whether a known object gives way to one that is told under its name: the
-/// later one wins, but from one era to another whichever has come further.
+/// Returns whether a known object is superseded by a received one of the same
+/// name: within an era by a later one, and across eras by one with further
+/// progress, or by a later one if their progress is equal or cannot be
+/// compared.
 fn gives_way(
     known: &StoredObject,
     told: &StoredObject,
--- a/crates/raildale-core/src/catalog/mod.rs
+++ b/crates/raildale-core/src/catalog/mod.rs
@@ -1,8 +1,8 @@
-//! What the platform's store holds, as one process knows it.
+//! The contents of the platform's store, as known to one process.
 //!
-//! Objects are opaque here: the adapter of a platform decodes them. What is
-//! known of a kind only ever moves to a later stamp of the store, from
-//! whomever it is heard, so a lagging peer cannot take anything back.
+//! Objects are opaque here: the adapter of a platform decodes them. Knowledge
+//! of a kind only moves to a later stamp of the store, regardless of its
+//! source, so a lagging peer cannot revert anything.
 
 mod mirror;
 
@@ -18,7 +18,7 @@
     Configuration,
     /// The list of targets.
     Targets,
-    /// The versions of weights that were named.
+    /// The named versions of weights.
     Versions,
     /// The entry hosts' own entries.
     EntryHosts,
@@ -36,31 +36,31 @@
         Kind::Quarantine,
     ];
 
-    /// The number that messages carry.
+    /// Returns the number that messages carry.
     pub fn number(self) -> u32 {
         self as u32
     }
 
-    /// The kind of a message's number.
+    /// Returns the kind with a number; `None` if there is none.
     pub fn from_number(number: u32) -> Option<Kind> {
         Kind::ALL.get(number as usize).copied()
     }
 }
 
-/// A place in the store's history.
+/// A position in the store's history.
 ///
-/// A store that is restored from an older copy gives revisions out again, and
-/// its era rises: of two stamps the one of the higher era is the later one.
+/// A store that is restored from an older copy reuses revisions and increments
+/// its era: of two stamps, the one with the higher era is the later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
-    /// How often the store was restored; 0 where it does not tell.
+    /// The number of restores of the store; 0 if it does not report this.
     pub era: u64,
-    /// Counts changes of the store within an era.
+    /// The number of changes of the store within the era.
     pub revision: u64,
 }
 
 impl Stamp {
-    /// The place of a revision in an era.
+    /// Creates the stamp of a revision in an era.
     pub fn new(era: u64, revision: u64) -> Stamp {
         Stamp { era, revision }
     }
@@ -72,14 +72,15 @@
     }
 }
 
-/// What one process knows of a kind, for others to compare.
+/// The extent of one process's knowledge of a kind, for comparison with
+/// others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extent {
-    /// The last change that it knows.
+    /// The last known change.
     pub changed: Stamp,
-    /// The first era of which it knows anything: what a restore has taken
-    /// back is known to whoever heard it before. [`u64::MAX`] if nothing is
-    /// known.
+    /// The first era of which anything is known; [`u64::MAX`] if nothing is
+    /// known. A process that knew an earlier era also knows what a restore has
+    /// reverted.
     pub oldest_era: u64,
 }
 
@@ -90,23 +91,25 @@
 }
 
 impl Extent {
-    /// Whether it covers something that `other` does not.
+    /// Returns whether it covers anything that `other` does not.
     pub fn adds_to(&self, other: &Extent) -> bool {
         self.changed > other.changed || self.oldest_era < other.oldest_era
     }
 }
 
-/// How far an object has come on a way on which none goes back, also if the
-/// store is restored from an older copy.
+/// The progress of an object along a path that never goes backwards, not even
+/// if the store is restored from an older copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Whose way it is: an object may be replaced under its name.
+    /// Identifies the object that makes the progress, as an object may be
+    /// replaced under its name.
     pub subject: u64,
-    /// How far: the version of a configuration, or whether a target leaves.
+    /// The level reached: the version of a configuration, or whether a target
+    /// is leaving.
     pub level: u64,
 }
 
-/// One object of the store.
+/// An object of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredObject {
     /// Its name within its kind.
@@ -117,23 +120,23 @@
     pub body: Bytes,
 }
 
-/// All objects of a kind at one time.
+/// All objects of a kind at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The store's last change by then.
+    /// The last change of the store by that time.
     pub stamp: Stamp,
     /// The objects.
     pub objects: Vec<StoredObject>,
 }
 
-/// One change of an object.
+/// A change of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The object is there, or is another now.
+    /// The object was created or changed.
     Put(StoredObject),
-    /// The object is gone.
+    /// The object was deleted.
     Deleted(Name),
-    /// The object is not in the copy from which the store was restored: it is
-    /// gone, or is written again.
+    /// The object is missing from the copy from which the store was restored:
+    /// it is gone, or will be written again.
     Lost(Name),
 }
--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -1,9 +1,10 @@
-//! The entry hosts, as one of them knows them.
+//! The entry hosts, as known to one of them.
 //!
-//! The store lists them; who is alive is told by their heartbeats, and in
-//! other data centres of a large fleet by digests.
+//! The store lists them. Heartbeats show which of them are alive; in a large
+//! fleet, digests do so for other data centres.
 //!
-//! * [`relays`]: who tells whom, and what passes between data centres.
+//! * [`relays`]: which entry hosts exchange heartbeats, and the digests
+//!   between data centres.
 
 pub mod relays;
 
@@ -15,109 +16,114 @@
     gateway::shares::Sender,
 };
 
-/// An entry host's entry in the store.
+/// The entry of an entry host in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberEntry {
     /// Its name.
     pub name: Name,
     /// Its address.
     pub ip: IpAddr,
-    /// The data centre that it stands in.
+    /// The data centre in which it runs.
     pub data_centre: Name,
 }
 
-/// What an entry host's heartbeat tells.
+/// The contents of an entry host's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Heartbeat {
-    /// Whether it takes no new callers.
+    /// Whether it is leaving and accepts no new callers.
     pub is_leaving: bool,
     /// Whether it is ready for callers.
     pub is_ready: bool,
-    /// What it knows of the store, by kind.
+    /// The extent of its knowledge of the store, indexed by the number of the
+    /// kind.
     pub extents: Vec<Extent>,
-    /// Whether the store answers it, as far as it knows.
+    /// Whether the store responds to it, as far as it knows.
     pub sees_store: bool,
-    /// Requests that come to it in a second, as of late.
+    /// The recent rate of requests that it receives, per second.
     pub demand_per_s: f64,
 }
 
-/// What is known of another entry host.
+/// The state of another entry host.
 #[derive(Debug)]
 struct Member {
     entry: MemberEntry,
-    /// When it became known.
+    /// When it became known. Set in the past for a host that recently left the
+    /// list.
     known_ms: u64,
-    /// Its last heartbeat.
+    /// Its last heartbeat; `None` if none has been received.
     heard: Option<Heard>,
-    /// Whether it was up when changes were last asked for.
+    /// Whether the last call of [`Members::changes`] saw it as up.
     is_told_up: bool,
 }
 
-/// A heartbeat that came.
+/// A received heartbeat.
 #[derive(Debug)]
 struct Heard {
     at_ms: u64,
     heartbeat: Heartbeat,
 }
 
-/// The entry hosts.
+/// The entry hosts, as known to this one.
 #[derive(Debug)]
 pub struct Members {
     own: MemberEntry,
     others: BTreeMap<IpAddr, Member>,
-    /// Whether the store lists this one.
+    /// Whether the store lists this entry host.
     is_listed: bool,
-    /// When those left the list that did of late.
+    /// When entry hosts that recently left the list did so.
     delisted_ms: BTreeMap<IpAddr, u64>,
-    /// The ways to the relays of other data centres.
+    /// The round trips to the relays of other data centres.
     ways: relays::Ways,
-    /// Since when another has been ahead in a kind.
+    /// Since when another entry host has been ahead, by kind.
     behind_since_ms: BTreeMap<Kind, u64>,
 }
 
-/// Silence after which an entry host counts as gone, in milliseconds: three
-/// heartbeats and a bit.
+/// An entry host counts as gone after this many milliseconds without a
+/// heartbeat: slightly more than three heartbeat intervals.
 pub const SILENT_MS: u64 = 1_400;
 
-/// Entry hosts of a data centre that watch the store; the others hear of
-/// changes from them. One may die or lose its way to the store unnoticed for
-/// a moment: a second one covers that.
+/// The number of entry hosts of a data centre that watch the store; the others
+/// learn of changes from them. The second one covers for a watcher that has
+/// died or lost its connection to the store without this being detected yet.
 pub const WATCHERS: usize = 2;
 
-/// Entry hosts of a data centre that ever watch, in a large fleet: with the
-/// store away for 8 s all 149 tried it, 8,203 calls in a day. With one in three
-/// turned away by the store, all of six are in one of 700 cases; the others
-/// then hear from other data centres.
+/// The number of entry hosts of a data centre that may become watchers in a
+/// large fleet. Without this limit, all 149 entry hosts tried a store that was
+/// unreachable for 8 s, 8,203 calls in one day. If the store rejects one in
+/// three, it rejects all six in one of 700 cases; the others then learn of
+/// changes from other data centres.
 pub const WATCHERS_TRIED: usize = 6;
 
-/// Silence after which another entry host is no longer relied on for
-/// watching the store, in milliseconds: two heartbeats and a bit. Less than
+/// Another entry host is not counted as a watcher after this many milliseconds
+/// without a heartbeat: slightly more than two heartbeat intervals. Less than
 /// [`SILENT_MS`], since changes must be in force within two seconds.
 const WATCHER_SILENT_MS: u64 = 900;
 
-/// How long one that is listed and not heard yet counts as alive, in
-/// milliseconds: a little longer than the silence that is allowed.
+/// A listed entry host without a heartbeat counts as alive for this many
+/// milliseconds: slightly longer than the allowed silence.
 const GREETING_MS: u64 = 1_500;
 
-/// How long it is remembered that one has left the list, in milliseconds: a
-/// copy from which the store is restored is some seconds old.
+/// How long a departure from the list is remembered, in milliseconds. A copy
+/// from which the store is restored is a few seconds old.
 const DELISTED_KEPT_MS: u64 = 60_000;
 
-/// How long another may be ahead before it is asked, in milliseconds: the
-/// own watch of the store usually brings the same change by then.
+/// How long another entry host may be ahead before it is asked, in
+/// milliseconds. This host's own watch of the store usually delivers the same
+/// change by then.
 const AHEAD_MS: u64 = 250;
 
 /// How long only entry hosts of other data centres may be ahead in a large
-/// fleet before one that watches the store asks them, in milliseconds: its
-/// own watch is late by less than that unless its way to the store is cut.
+/// fleet before a watcher asks them, in milliseconds. The watcher's own watch
+/// is delayed by less than that unless its connection to the store is cut.
 const FAR_AHEAD_MS: u64 = 500;
 
-/// The same for one that does not watch, in milliseconds: the watchers next
-/// door have asked by then, so that the answer crosses once or twice.
+/// The same for an entry host that is not a watcher, in milliseconds. The
+/// watchers of its data centre have asked by then, so the answer crosses
+/// between data centres only once or twice.
 const FAR_AHEAD_OTHERS_MS: u64 = 1_300;
 
 impl Members {
-    /// An entry host that knows of no other.
+    /// Creates the state of an entry host that knows no others.
     pub fn new(own: MemberEntry) -> Members {
         Members {
             own,
@@ -129,13 +135,13 @@
         }
     }
 
-    /// The own entry.
+    /// Returns the own entry.
     pub fn own(&self) -> &MemberEntry {
         &self.own
     }
 
-    /// Takes over the store's list. One that is no longer listed stays while
-    /// it is heard.
+    /// Replaces the store's list. An entry host that is no longer listed is
+    /// kept while its heartbeats arrive.
     pub fn set_listed(&mut self, now_ms: u64, listed: Vec<MemberEntry>) {
         self.delisted_ms.retain(|_, ms| now_ms < *ms + DELISTED_KEPT_MS);
         self.others.retain(|ip, member| {
@@ -151,18 +157,18 @@
         }
     }
 
-    /// Whether the store lists this one, as far as it knows.
+    /// Returns whether the store lists this entry host, as far as it knows.
     pub fn is_listed(&self) -> bool {
         self.is_listed
     }
 
-    /// Adds one that may be there.
+    /// Adds an entry host or updates its entry.
     fn add(&mut self, now_ms: u64, entry: MemberEntry) {
         if entry.ip == self.own.ip {
             return;
         }
-        // A store that was restored from an older copy may list one again that
-        // has ended: it only counts as alive once it is heard.
+        // A store that was restored from an older copy may list an entry host
+        // again that has ended: it counts as alive only after a heartbeat.
         let was_delisted = self.delisted_ms.contains_key(&entry.ip);
         let greeted_ms = if was_delisted { GREETING_MS } else { 0 };
         let known = self.others.entry(entry.ip).or_insert_with(|| Member {
@@ -174,8 +180,8 @@
         known.entry = entry;
     }
 
-    /// Takes a heartbeat in. Says whether it came from one that was not
-    /// heard just before, and so may know nothing yet.
+    /// Records a heartbeat. Returns whether its sender had not been heard
+    /// shortly before, and so may not know anything yet.
     pub fn heard(
         &mut self,
         now_ms: u64,
@@ -190,12 +196,12 @@
         is_new
     }
 
-    /// Addresses of all others, alive or not.
+    /// Returns the addresses of all others, alive or not.
     pub fn others(&self) -> impl Iterator<Item = IpAddr> + '_ {
         self.others.keys().copied()
     }
 
-    /// Others in the list that have been silent for longer than `ms`.
+    /// Returns the others that have been silent for longer than `ms`.
     pub fn silent_for(&self, now_ms: u64, ms: u64) -> Vec<MemberEntry> {
         self.others
             .values()
@@ -208,7 +214,8 @@
             .collect()
     }
 
-    /// Others that came up (true) or went silent since this was last asked.
+    /// Returns the others that came up (`true`) or went silent (`false`) since
+    /// the last call.
     pub fn changes(&mut self, now_ms: u64) -> Vec<(IpAddr, bool)> {
         self.others
             .iter_mut()
@@ -221,8 +228,8 @@
             .collect()
     }
 
-    /// Entry hosts that are alive, by address, with what each needs targets
-    /// for, and the place of this one, which needs `own_demand_per_s`.
+    /// Returns the live entry hosts by address, with the demand of each, and
+    /// the index of this one, whose demand is `own_demand_per_s`.
     pub fn senders(
         &self,
         now_ms: u64,
@@ -251,8 +258,9 @@
         (senders, place)
     }
 
-    /// Whether no entry host that is alive stands nearer to a data centre
-    /// than this one does: in it, or as far away while it has none.
+    /// Returns whether no live entry host is nearer to a data centre than this
+    /// one. An entry host in the data centre is nearest; if it has none, all
+    /// are equally near.
     pub fn is_nearest(&self, now_ms: u64, data_centre: &str) -> bool {
         let stands_there =
             |entry: &MemberEntry| *entry.data_centre == *data_centre;
@@ -261,10 +269,10 @@
         stands_there(&self.own) || !alive.any(|m| stands_there(&m.entry))
     }
 
-    /// Whether this entry host is to watch the store: it is among the first
-    /// [`WATCHERS`] of its data centre, by address, that are heard and see
-    /// the store and, in a large fleet, among the first [`WATCHERS_TRIED`]
-    /// that are heard.
+    /// Returns whether this entry host should watch the store: it must be
+    /// among the first [`WATCHERS`] of its data centre, by address, that are
+    /// heard and see the store and, in a large fleet, among the first
+    /// [`WATCHERS_TRIED`] that are heard.
     pub fn is_watcher(&self, now_ms: u64) -> bool {
         let before = self.others.range(..self.own.ip).filter_map(|(_, m)| {
             let beat = heartbeat_within(m, now_ms, WATCHER_SILENT_MS)?;
@@ -277,9 +285,10 @@
         seeing < WATCHERS && is_tried
     }
 
-    /// The addresses for callers in a data centre: those there, and as many
-    /// of others that each data centre's callers share about the same number
-    /// of entry hosts. `draw` rotates the others, so that they share evenly.
+    /// Returns the addresses for callers in a data centre: the entry hosts
+    /// there, and so many others that the callers of each data centre share
+    /// about the same number of entry hosts. `draw` rotates the others to
+    /// distribute the load evenly.
     pub fn addresses_for(
         &self,
         now_ms: u64,
@@ -299,8 +308,8 @@
             .collect()
     }
 
-    /// Entry hosts that take callers, by address. This one is among them if
-    /// it is open, or if no other is.
+    /// Returns the entry hosts that accept callers, by address. This one is
+    /// included if it is open, or if no other is.
     fn open_entries(
         &self,
         now_ms: u64,
@@ -319,10 +328,11 @@
         open
     }
 
-    /// A live entry host that is ahead of this one in a kind, and is to be
-    /// asked for it: one next door if there is any, by `draw`, so that not
-    /// all ask the same. One that watches the store itself waits a while
-    /// first, unless it knows nothing of the kind yet.
+    /// Returns a live entry host that is ahead of this one in a kind and
+    /// should be asked for it; `None` if there is none, or the waiting time
+    /// has not passed yet. Entry hosts of the own data centre are preferred.
+    /// `draw` selects among several, so that not all ask the same one. A
+    /// watcher waits first, unless it knows nothing of the kind yet.
     pub fn ahead(
         &mut self,
         now_ms: u64,
@@ -349,8 +359,8 @@
         is_due.then_some(ip)
     }
 
-    /// Live entry hosts that are ahead of `own` in a kind: those of the own
-    /// data centre, or all if there is none.
+    /// Returns the live entry hosts that are ahead of `own` in a kind: those
+    /// of the own data centre, or all if there are none.
     fn nearest_ahead(
         &self,
         now_ms: u64,
@@ -371,7 +381,8 @@
     }
 }
 
-/// Entry hosts for each data centre's callers, if all were shared evenly.
+/// Returns the number of entry hosts for each data centre's callers if all
+/// were shared evenly.
 fn fair_count(open: &[&MemberEntry]) -> usize {
     let mut centres: Vec<&str> =
         open.iter().map(|entry| &*entry.data_centre).collect();
@@ -380,8 +391,9 @@
     open.len().div_ceil(centres.len().max(1))
 }
 
-/// Those that may help elsewhere, in turn from place `draw` on: the entry
-/// hosts of the data centres with the most, if these are `missing` at least.
+/// Returns the entry hosts that may serve callers of another data centre,
+/// rotated by `draw`: those of the data centres with the most entry hosts, if
+/// there are at least `missing` of them, or else all.
 fn helpers(
     elsewhere: Vec<&MemberEntry>,
     missing: usize,
@@ -403,7 +415,8 @@
     helpers
 }
 
-/// What a member knows of a kind, as its last heartbeat told.
+/// Returns the extent of a member's knowledge of a kind, from its last
+/// heartbeat.
 fn extent(member: &Member, kind: Kind) -> Option<Extent> {
     let heard = member.heard.as_ref()?;
     let place = kind.number() as usize;
@@ -414,7 +427,7 @@
     heartbeat_within(member, now_ms, SILENT_MS).is_some()
 }
 
-/// The last heartbeat, if it is younger than `ms`.
+/// Returns the last heartbeat, if it is less than `ms` old.
 fn heartbeat_within(
     member: &Member,
     now_ms: u64,
--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -1,12 +1,12 @@
-//! Who tells whom in a fleet of many data centres.
+//! Communication between entry hosts in a fleet of many data centres.
 //!
-//! In a small fleet every entry host tells every other one all it knows, and
-//! hears every agent. What that costs grows with the square of the fleet: 149
-//! entry hosts before 120 agents would exchange 270,000 datagrams a second,
-//! four in five of them between regions. In a large one an entry host
-//! therefore talks to those of its own data centre alone. Two of each data
-//! centre, its relays, tell those of the others what they hear there, as one
-//! digest, and whoever receives one passes it on next door.
+//! In a small fleet every entry host sends heartbeats to every other one and
+//! receives the reports of every agent. The cost grows with the square of the
+//! fleet: 149 entry hosts with 120 agents would exchange 270,000 datagrams a
+//! second, four in five of them between regions. In a large fleet an entry
+//! host therefore communicates only within its own data centre. Two relays of
+//! each data centre send the state of their data centre to those of the others
+//! as one digest, and the recipient forwards it within its data centre.
 
 use std::{collections::BTreeMap, net::IpAddr};
 
@@ -19,42 +19,44 @@
     fleet_message::{DigestEntryHost, Echo},
 };
 
-/// Entry hosts up to which each tells every other one, and hears every agent:
-/// at 48 they exchange 5,600 heartbeats a second, 117 for each of them.
+/// The maximum number of entry hosts that all communicate with each other and
+/// with every agent. 48 of them exchange 5,600 heartbeats a second, 117 each.
 const MESH_MOST: usize = 48;
 
-/// Relays of a data centre: one may die or freeze unnoticed for a moment, and
-/// the second one covers that.
+/// The number of relays of a data centre. The second one covers for a relay
+/// that has died or frozen without this being detected yet.
 pub const RELAYS: usize = 2;
 
-/// Heartbeats between two digests of a relay; the relays of a data centre
-/// take turns, so that one leaves with every heartbeat.
+/// The number of heartbeats between two digests of a relay. The relays of a
+/// data centre take turns, so that one digest is sent with every heartbeat.
 pub const DIGEST_EVERY: u64 = RELAYS as u64;
 
-/// How long a measured way to another data centre counts, in milliseconds:
-/// three digests.
+/// How long a measured round trip to another data centre is valid, in
+/// milliseconds: three digests.
 const WAY_FRESH_MS: u64 = 2_400;
 
 impl Members {
-    /// Whether the fleet is too large for all to tell one another.
+    /// Returns whether the fleet is too large for all entry hosts to
+    /// communicate with each other.
     pub fn is_large(&self) -> bool {
         self.others.len() >= MESH_MOST
     }
 
-    /// Whether this entry host exchanges heartbeats with those of a data
-    /// centre, and hears the agents there.
+    /// Returns whether this entry host exchanges heartbeats with those of a
+    /// data centre and receives the reports of its agents.
     pub fn reaches_centre(&self, data_centre: &str) -> bool {
         !self.is_large() || *self.own.data_centre == *data_centre
     }
 
-    /// Whether this entry host exchanges heartbeats with the one at `ip`.
+    /// Returns whether this entry host exchanges heartbeats with the one at
+    /// `ip`.
     pub(super) fn reaches(&self, ip: IpAddr) -> bool {
         let member = self.others.get(&ip);
         member.is_none_or(|m| self.reaches_centre(&m.entry.data_centre))
     }
 
-    /// The entry hosts with which this one exchanges heartbeats, alive or
-    /// not.
+    /// Returns the entry hosts with which this one exchanges heartbeats, alive
+    /// or not.
     pub fn neighbours(&self) -> impl Iterator<Item = IpAddr> + '_ {
         let members = self.others.iter();
         members
@@ -62,14 +64,14 @@
             .map(|(ip, _)| *ip)
     }
 
-    /// Whether no other entry host was heard of late: one that has just
-    /// started, or was cut off, turns to the seeds.
+    /// Returns whether no other entry host was heard recently. An entry host
+    /// that has just started or was disconnected contacts the seeds.
     pub fn hears_nobody(&self, now_ms: u64) -> bool {
         !self.others.values().any(|member| super::is_heard(member, now_ms))
     }
 
-    /// The place of this entry host among the relays of its data centre;
-    /// `None` if it is none of them, or the fleet needs none.
+    /// Returns the index of this entry host among the relays of its data
+    /// centre; `None` if it is not a relay, or the fleet needs none.
     pub fn relay_place(
         &self,
         now_ms: u64,
@@ -85,9 +87,9 @@
         relays.iter().take(RELAYS).position(|ip| *ip == self.own.ip)
     }
 
-    /// Where the digest of the relay at `place` goes: to the relay of the
-    /// same place in each other data centre or, where nobody is heard, to one
-    /// that is listed, by `draw`.
+    /// Returns the recipients of the digest of the relay at index `place`: in
+    /// each other data centre the relay of the same index or, if none is heard
+    /// there, a listed entry host selected by `draw`.
     pub fn digest_recipients(
         &self,
         now_ms: u64,
@@ -111,8 +113,9 @@
         centres.into_iter().map(recipient).collect()
     }
 
-    /// Entry hosts of a data centre that were heard within `heard_ms` and are
-    /// not leaving, those that are ready first, by address.
+    /// Returns the entry hosts of a data centre that were heard within
+    /// `heard_ms` and are not leaving: those that are ready first, then by
+    /// address.
     fn ranked(
         &self,
         now_ms: u64,
@@ -132,7 +135,8 @@
         ranked.into_iter().map(|(_, ip)| ip).collect()
     }
 
-    /// The entry hosts of the own data centre that are heard, for a digest.
+    /// Returns the entry hosts of the own data centre that are heard, for a
+    /// digest.
     pub fn digest_entry_hosts(&self, now_ms: u64) -> Vec<DigestEntryHost> {
         let here = self.others.iter().filter(|(_, member)| {
             member.entry.data_centre == self.own.data_centre
@@ -150,8 +154,9 @@
         .collect()
     }
 
-    /// Takes in what a digest tells of another entry host; one that no list
-    /// names yet is passed over. What it knows of the store stays untold.
+    /// Records the state of another entry host from a digest. An entry host
+    /// that is on no list is ignored. A digest does not carry its knowledge of
+    /// the store, so that stays as it was.
     pub fn heard_of(&mut self, now_ms: u64, told: &DigestEntryHost) {
         let ip = IpAddr::V4(told.ip.into());
         let Some(member) = self.others.get_mut(&ip) else { return };
@@ -166,34 +171,34 @@
         member.heard = Some(Heard { at_ms: now_ms, heartbeat });
     }
 
-    /// The ways to the relays of other data centres.
+    /// Returns the round trips to the relays of other data centres.
     pub fn ways(&mut self) -> &mut Ways {
         &mut self.ways
     }
 }
 
-/// The ways to the relays of other data centres, measured by what each sends
-/// back of the other's clock.
+/// Round trips to the relays of other data centres, measured by the timestamps
+/// that each side echoes.
 #[derive(Debug, Default)]
 pub struct Ways {
     by_relay: BTreeMap<u32, Way>,
 }
 
-/// The way to one relay.
+/// The round trip to one relay.
 #[derive(Clone, Copy, Debug)]
 struct Way {
-    /// The relay's clock in its last digest.
+    /// The sending time of the relay's last digest, on its clock.
     sent_ms: u64,
-    /// When that came.
+    /// When that digest was received.
     came_ms: u64,
-    /// Milliseconds there and back.
+    /// The round trip in milliseconds; 0 if not measured.
     round_trip_ms: u64,
 }
 
 impl Ways {
-    /// Takes in a digest of the relay at `relay_ip`, sent at `sent_ms` on its
-    /// clock, with what it tells of those from here; returns the way there
-    /// and back in milliseconds, 0 if none is measured yet.
+    /// Records a digest that the relay at `relay_ip` sent at `sent_ms` on its
+    /// clock, with its `echoes` of digests from here. Returns the round trip
+    /// in milliseconds, 0 if it has not been measured yet.
     pub fn note(
         &mut self,
         now_ms: u64,
@@ -216,7 +221,7 @@
         round_trip_ms
     }
 
-    /// What goes back to the relays that were heard of late.
+    /// Returns the echoes for the relays that were heard recently.
     pub fn echoes(&self, now_ms: u64) -> Vec<Echo> {
         self.by_relay
             .iter()
