--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -92,7 +92,7 @@
 /// unreachable for 8 s, 8,203 calls in one day. If the store rejects one in
 /// three, it rejects all six in one of 700 cases; the others then learn of
 /// changes from other data centres.
-pub const WATCHERS_TRIED: usize = 6;
+pub const MAX_WATCHER_CANDIDATES: usize = 6;
 
 /// Another entry host is not counted as a watcher after this many milliseconds
 /// without a heartbeat: slightly more than two heartbeat intervals. Less than
@@ -272,7 +272,7 @@
     /// Returns whether this entry host should watch the store: it must be
     /// among the first [`WATCHERS`] of its data centre, by address, that are
     /// heard and see the store and, in a large fleet, among the first
-    /// [`WATCHERS_TRIED`] that are heard.
+    /// [`MAX_WATCHER_CANDIDATES`] that are heard.
     pub fn is_watcher(&self, now_ms: u64) -> bool {
         let before = self.others.range(..self.own.ip).filter_map(|(_, m)| {
             let beat = heartbeat_within(m, now_ms, WATCHER_SILENT_MS)?;
@@ -281,7 +281,8 @@
         });
         let before: Vec<bool> = before.collect();
         let seeing = before.iter().filter(|sees_store| **sees_store).count();
-        let is_tried = !self.is_large() || before.len() < WATCHERS_TRIED;
+        let is_tried =
+            !self.is_large() || before.len() < MAX_WATCHER_CANDIDATES;
         seeing < WATCHERS && is_tried
     }
 
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -10,7 +10,7 @@
     catalog::{Extent, Kind, Stamp},
     fleet_message::{DigestEntryHost, Echo},
     members::{
-        Heartbeat, MemberEntry, Members, SILENT_MS, WATCHERS_TRIED,
+        Heartbeat, MAX_WATCHER_CANDIDATES, MemberEntry, Members, SILENT_MS,
         relays::{RELAYS, Ways},
     },
 };
@@ -242,5 +242,5 @@
         }
         watchers += usize::from(members.is_watcher(START_MS));
     }
-    assert_eq!(watchers, CENTRES * WATCHERS_TRIED);
+    assert_eq!(watchers, CENTRES * MAX_WATCHER_CANDIDATES);
 }
