--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -29,7 +29,7 @@
 
 /// The number of heartbeats between two digests of a relay. The relays of a
 /// data centre take turns, so that one digest is sent with every heartbeat.
-pub const DIGEST_EVERY: u64 = RELAYS as u64;
+pub const HEARTBEATS_PER_DIGEST: u64 = RELAYS as u64;
 
 /// How long a measured round trip to another data centre is valid, in
 /// milliseconds: three digests.
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -7,7 +7,7 @@
 
 use raildale_core::{
     fleet_message::{Digest, DigestTarget, Note, Report},
-    members::relays::DIGEST_EVERY,
+    members::relays::HEARTBEATS_PER_DIGEST,
 };
 use tokio::net::UdpSocket;
 
@@ -19,9 +19,9 @@
 };
 
 /// Time between two digests of a relay, in milliseconds, as its readers
-/// expect them: [`DIGEST_EVERY`] heartbeats.
+/// expect them: [`HEARTBEATS_PER_DIGEST`] heartbeats.
 const DIGEST_EVERY_MS: u32 =
-    peers::HEARTBEAT.as_millis() as u32 * DIGEST_EVERY as u32;
+    peers::HEARTBEAT.as_millis() as u32 * HEARTBEATS_PER_DIGEST as u32;
 
 /// Sends a digest with the heartbeat number `beat`, if this entry host is a
 /// relay and it is its turn.
@@ -35,7 +35,7 @@
     let now = now_ms();
     let place = host.members.borrow().relay_place(now, host.is_ready());
     let Some(place) = place else { return };
-    if beat % DIGEST_EVERY != place as u64 % DIGEST_EVERY {
+    if beat % HEARTBEATS_PER_DIGEST != place as u64 % HEARTBEATS_PER_DIGEST {
         return;
     }
     let Some(digest) = digest(host) else { return };
