--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -66,7 +66,7 @@
 
     /// Returns whether no other entry host was heard recently. An entry host
     /// that has just started or was disconnected contacts the seeds.
-    pub fn hears_nobody(&self, now_ms: u64) -> bool {
+    pub fn is_isolated(&self, now_ms: u64) -> bool {
         !self.others.values().any(|member| super::is_heard(member, now_ms))
     }
 
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -246,7 +246,7 @@
 fn heartbeat_recipients<P>(host: &EntryHost<P>) -> Vec<IpAddr> {
     let members = host.members.borrow();
     let mut recipients: Vec<IpAddr> = members.neighbours().collect();
-    if !members.is_large() || members.hears_nobody(now_ms()) {
+    if !members.is_large() || members.is_isolated(now_ms()) {
         let seeds = host.node.seed_entry_hosts().map(|seed| seed.ip());
         recipients.extend(seeds.filter(|ip| *ip != host.node.ip));
     }
