--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -72,7 +72,7 @@
 
     /// Returns the index of this entry host among the relays of its data
     /// centre; `None` if it is not a relay, or the fleet needs none.
-    pub fn relay_place(
+    pub fn relay_index(
         &self,
         now_ms: u64,
         is_own_ready: bool,
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -62,7 +62,7 @@
         let members = members(own, count);
         let neighbours = members.neighbours().count();
         sum += neighbours;
-        if let Some(place) = members.relay_place(START_MS, true) {
+        if let Some(place) = members.relay_index(START_MS, true) {
             let far = members.digest_recipients(START_MS, place, 0).len();
             // One of the relays sends with each heartbeat, and each who gets
             // one from another data centre passes it on.
@@ -85,7 +85,7 @@
 fn a_small_fleet_is_a_mesh() {
     let members = members(0, 40);
     assert_eq!(members.neighbours().count(), 39);
-    assert_eq!(members.relay_place(START_MS, true), None);
+    assert_eq!(members.relay_index(START_MS, true), None);
     assert!(members.reaches_centre("centre-5"));
 }
 
@@ -94,7 +94,7 @@
     let mut reached = BTreeSet::new();
     for own in 0..LARGE {
         let members = members(own, LARGE);
-        let Some(place) = members.relay_place(START_MS, true) else {
+        let Some(place) = members.relay_index(START_MS, true) else {
             continue;
         };
         assert_eq!(place, own / CENTRES, "the first by address");
@@ -111,7 +111,7 @@
     let third = |change: fn(&mut Members)| {
         let mut members = members(16, LARGE);
         change(&mut members);
-        members.relay_place(START_MS + 1_000, true)
+        members.relay_index(START_MS + 1_000, true)
     };
     let beat = |members: &mut Members, host: usize, heartbeat: Heartbeat| {
         members.heard(START_MS + 1_000, entry(host), heartbeat);
@@ -134,12 +134,12 @@
     let mut leaving = members(16, LARGE);
     beat(&mut leaving, 0, Heartbeat { is_leaving: true, ..ready() });
     beat(&mut leaving, 8, ready());
-    assert_eq!(leaving.relay_place(START_MS + 1_000, true), Some(1));
+    assert_eq!(leaving.relay_index(START_MS + 1_000, true), Some(1));
     let mut unready = members(16, LARGE);
     beat(&mut unready, 0, Heartbeat::default());
     beat(&mut unready, 8, ready());
-    assert_eq!(unready.relay_place(START_MS + 1_000, true), Some(1));
-    assert_eq!(unready.relay_place(START_MS + 1_000, false), None);
+    assert_eq!(unready.relay_index(START_MS + 1_000, true), Some(1));
+    assert_eq!(unready.relay_index(START_MS + 1_000, false), None);
 }
 
 #[test]
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -33,7 +33,7 @@
         return;
     }
     let now = now_ms();
-    let place = host.members.borrow().relay_place(now, host.is_ready());
+    let place = host.members.borrow().relay_index(now, host.is_ready());
     let Some(place) = place else { return };
     if beat % HEARTBEATS_PER_DIGEST != place as u64 % HEARTBEATS_PER_DIGEST {
         return;
