--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -44,7 +44,7 @@
 
     /// Returns whether this entry host exchanges heartbeats with those of a
     /// data centre and receives the reports of its agents.
-    pub fn reaches_centre(&self, data_centre: &str) -> bool {
+    pub fn reaches_data_centre(&self, data_centre: &str) -> bool {
         !self.is_large() || *self.own.data_centre == *data_centre
     }
 
@@ -52,7 +52,7 @@
     /// `ip`.
     pub(super) fn reaches(&self, ip: IpAddr) -> bool {
         let member = self.others.get(&ip);
-        member.is_none_or(|m| self.reaches_centre(&m.entry.data_centre))
+        member.is_none_or(|m| self.reaches_data_centre(&m.entry.data_centre))
     }
 
     /// Returns the entry hosts with which this one exchanges heartbeats, alive
@@ -60,7 +60,7 @@
     pub fn neighbours(&self) -> impl Iterator<Item = IpAddr> + '_ {
         let members = self.others.iter();
         members
-            .filter(|(_, m)| self.reaches_centre(&m.entry.data_centre))
+            .filter(|(_, m)| self.reaches_data_centre(&m.entry.data_centre))
             .map(|(ip, _)| *ip)
     }
 
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -86,7 +86,7 @@
     let members = members(0, 40);
     assert_eq!(members.neighbours().count(), 39);
     assert_eq!(members.relay_index(START_MS, true), None);
-    assert!(members.reaches_centre("centre-5"));
+    assert!(members.reaches_data_centre("centre-5"));
 }
 
 #[test]
--- a/crates/raildale/src/fleet/entry/briefings.rs
+++ b/crates/raildale/src/fleet/entry/briefings.rs
@@ -212,7 +212,7 @@
     let members = host.members.borrow();
     let is_nearest = members.is_nearest(now, data_centre);
     let is_relay = members.relay_index(now, host.is_ready()).is_some();
-    let reaches = members.reaches_centre(data_centre);
+    let reaches = members.reaches_data_centre(data_centre);
     match (members.is_large(), is_nearest) {
         (false, true) => Some(BriefingForm::NearWithList),
         (false, false) => Some(BriefingForm::Far),
