--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -157,7 +157,7 @@
     /// Records the state of another entry host from a digest. An entry host
     /// that is on no list is ignored. A digest does not carry its knowledge of
     /// the store, so that stays as it was.
-    pub fn heard_of(&mut self, now_ms: u64, told: &DigestEntryHost) {
+    pub fn on_digest_entry(&mut self, now_ms: u64, told: &DigestEntryHost) {
         let ip = IpAddr::V4(told.ip.into());
         let Some(member) = self.others.get_mut(&ip) else { return };
         let before = member.heard.take();
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -165,7 +165,7 @@
         is_leaving: false,
         demand_per_s: 7.0,
     };
-    members.heard_of(now_ms, &told);
+    members.on_digest_entry(now_ms, &told);
     let addresses = members.addresses_for(now_ms, "centre-3", true, 0);
     assert_eq!(addresses[0], ip(3));
     let (senders, _) = members.senders(now_ms, 1.0);
@@ -174,7 +174,7 @@
     let later_ms = now_ms + SILENT_MS + 1;
     let (senders, _) = members.senders(later_ms, 1.0);
     assert_eq!(senders.len(), 1, "digests no longer name it");
-    members.heard_of(later_ms, &DigestEntryHost { ip: 1, ..told });
+    members.on_digest_entry(later_ms, &DigestEntryHost { ip: 1, ..told });
     assert_eq!(members.others().count(), LARGE - 1, "no list names it");
 }
 
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -120,7 +120,7 @@
         peers::note_hello(host, relay_ip, hello);
     }
     for told in &digest.entry_hosts {
-        host.members.borrow_mut().heard_of(now, told);
+        host.members.borrow_mut().on_digest_entry(now, told);
     }
     let mut gateway = host.gateway.borrow_mut();
     for told in &digest.targets {
