--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -182,7 +182,7 @@
 
     /// Records a heartbeat. Returns whether its sender had not been heard
     /// shortly before, and so may not know anything yet.
-    pub fn heard(
+    pub fn on_heartbeat(
         &mut self,
         now_ms: u64,
         entry: MemberEntry,
--- a/crates/raildale-core/tests/members.rs
+++ b/crates/raildale-core/tests/members.rs
@@ -30,7 +30,7 @@
 fn members() -> Members {
     let mut members = Members::new(entry("a", 1));
     for (centre, last) in [("a", 2), ("a", 3), ("b", 4), ("b", 5), ("c", 6)] {
-        members.heard(START_MS, entry(centre, last), ready());
+        members.on_heartbeat(START_MS, entry(centre, last), ready());
     }
     members
 }
@@ -62,9 +62,9 @@
     let mut members = members();
     let later_ms = START_MS + SILENT_MS + 1;
     let leaving = Heartbeat { is_leaving: true, ..ready() };
-    members.heard(later_ms, entry("a", 2), leaving);
-    members.heard(later_ms, entry("a", 3), Heartbeat::default());
-    members.heard(later_ms, entry("b", 4), ready());
+    members.on_heartbeat(later_ms, entry("a", 2), leaving);
+    members.on_heartbeat(later_ms, entry("a", 3), Heartbeat::default());
+    members.on_heartbeat(later_ms, entry("b", 4), ready());
     assert_eq!(told(&members, later_ms, "b"), [4]);
     assert_eq!(told(&members, later_ms, "a"), [1]);
 }
@@ -79,7 +79,7 @@
 fn one_that_stays_ahead_is_asked() {
     let mut members = members();
     let ahead = Heartbeat { extents: vec![known(0, 9)], ..ready() };
-    members.heard(START_MS, entry("b", 4), ahead);
+    members.on_heartbeat(START_MS, entry("b", 4), ahead);
     let kind = Kind::Configuration;
     assert_eq!(
         members.ahead(START_MS, kind, known(0, 8), 0),
@@ -98,9 +98,9 @@
 fn one_that_has_heard_of_a_restore_is_ahead() {
     let mut members = members();
     let ahead = Heartbeat { extents: vec![known(1, 4)], ..ready() };
-    members.heard(START_MS, entry("b", 4), ahead);
+    members.on_heartbeat(START_MS, entry("b", 4), ahead);
     let behind = Heartbeat { extents: vec![known(0, 99)], ..ready() };
-    members.heard(START_MS, entry("b", 5), behind);
+    members.on_heartbeat(START_MS, entry("b", 5), behind);
     let kind = Kind::Configuration;
     let asked = |members: &mut Members, changed: Stamp| {
         let own = Extent { changed, oldest_era: 0 };
@@ -118,7 +118,7 @@
     let mut members = members();
     let knew = Extent { oldest_era: 0, ..known(1, 4) };
     let heartbeat = Heartbeat { extents: vec![knew], ..ready() };
-    members.heard(START_MS, entry("b", 4), heartbeat);
+    members.on_heartbeat(START_MS, entry("b", 4), heartbeat);
     let kind = Kind::Configuration;
     members.ahead(START_MS, kind, known(1, 6), 0);
     let asked = members.ahead(START_MS + 300, kind, known(1, 6), 0);
@@ -132,7 +132,7 @@
     let mut members = members();
     assert_eq!(members.changes(START_MS).len(), 5, "all came up");
     let later_ms = START_MS + SILENT_MS + 1;
-    members.heard(later_ms, entry("a", 2), ready());
+    members.on_heartbeat(later_ms, entry("a", 2), ready());
     assert_eq!(members.changes(later_ms).len(), 4, "all others fell silent");
     assert_eq!(members.changes(later_ms), vec![]);
 }
@@ -155,9 +155,9 @@
 fn last_of_four(beats: [(u8, Heartbeat); 3]) -> Members {
     let mut members = Members::new(entry("a", 9));
     for (last, beat) in beats {
-        members.heard(START_MS, entry("a", last), beat);
+        members.on_heartbeat(START_MS, entry("a", last), beat);
     }
-    members.heard(START_MS, entry("b", 7), seeing());
+    members.on_heartbeat(START_MS, entry("b", 7), seeing());
     members
 }
 
@@ -179,7 +179,7 @@
     let ahead = || Heartbeat { extents: vec![known(0, 9)], ..seeing() };
     let mut members =
         last_of_four([(1, seeing()), (2, ahead()), (3, ahead())]);
-    members.heard(START_MS, entry("b", 7), ahead());
+    members.on_heartbeat(START_MS, entry("b", 7), ahead());
     let kind = Kind::Configuration;
     let asked: Vec<_> = (0..4)
         .map(|draw| members.ahead(START_MS, kind, known(0, 8), draw))
@@ -191,7 +191,8 @@
 #[test]
 fn one_that_comes_up_is_answered_at_once() {
     let mut members = Members::new(entry("a", 1));
-    let mut heard = |at_ms| members.heard(at_ms, entry("a", 2), seeing());
+    let mut heard =
+        |at_ms| members.on_heartbeat(at_ms, entry("a", 2), seeing());
     assert!(heard(START_MS), "never heard before");
     assert!(!heard(START_MS + 400));
     assert!(heard(START_MS + 400 + SILENT_MS), "it may have restarted");
@@ -207,6 +208,6 @@
     members.set_listed(later_ms, vec![entry("a", 1)]);
     members.set_listed(later_ms, vec![entry("a", 1), entry("b", 4)]);
     assert_eq!(told(&members, later_ms, "b"), [1]);
-    members.heard(later_ms, entry("b", 4), ready());
+    members.on_heartbeat(later_ms, entry("b", 4), ready());
     assert_eq!(told(&members, later_ms, "b"), [4], "it has started again");
 }
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -49,7 +49,7 @@
     let mut members = Members::new(entry(own));
     members.set_listed(START_MS, (0..count).map(entry).collect());
     for host in (0..count).filter(|host| *host != own) {
-        members.heard(START_MS, entry(host), ready());
+        members.on_heartbeat(START_MS, entry(host), ready());
     }
     members
 }
@@ -114,19 +114,19 @@
         members.relay_index(START_MS + 1_000, true)
     };
     let beat = |members: &mut Members, host: usize, heartbeat: Heartbeat| {
-        members.heard(START_MS + 1_000, entry(host), heartbeat);
+        members.on_heartbeat(START_MS + 1_000, entry(host), heartbeat);
     };
     assert_eq!(
         third(|members| {
-            members.heard(START_MS + 1_000, entry(0), ready());
-            members.heard(START_MS + 1_000, entry(8), ready());
+            members.on_heartbeat(START_MS + 1_000, entry(0), ready());
+            members.on_heartbeat(START_MS + 1_000, entry(8), ready());
         }),
         None,
         "both live"
     );
     assert_eq!(
         third(|members| {
-            members.heard(START_MS + 1_000, entry(8), ready());
+            members.on_heartbeat(START_MS + 1_000, entry(8), ready());
         }),
         Some(1),
         "the first is silent"
@@ -194,7 +194,7 @@
                     true => Heartbeat { sees_store: true, ..ready() },
                     false => ahead.clone(),
                 };
-                members.heard(now_ms, entry(host), beat);
+                members.on_heartbeat(now_ms, entry(host), beat);
             }
             if members
                 .ahead(now_ms, Kind::Configuration, known(5), 0)
@@ -238,7 +238,7 @@
     for own in 0..LARGE {
         let mut members = members(own, LARGE);
         for host in (0..LARGE).filter(|host| *host != own) {
-            members.heard(START_MS, entry(host), blind.clone());
+            members.on_heartbeat(START_MS, entry(host), blind.clone());
         }
         watchers += usize::from(members.is_watcher(START_MS));
     }
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -123,7 +123,7 @@
     host.take_told_versions(hello.versions, hello.versions_heard_age_ms);
     host.take_told_suspects(hello.suspects);
     host.take_told_notices(ip, hello.notices);
-    host.members.borrow_mut().heard(now_ms(), entry, heartbeat)
+    host.members.borrow_mut().on_heartbeat(now_ms(), entry, heartbeat)
 }
 
 fn take_report<P>(host: &EntryHost<P>, from: SocketAddr, report: Report)
