--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -52,7 +52,7 @@
     known_ms: u64,
     /// Its last heartbeat; `None` if none has been received.
     heard: Option<Heard>,
-    /// Whether the last call of [`Members::changes`] saw it as up.
+    /// Whether the last call of [`Members::take_changes`] saw it as up.
     is_told_up: bool,
 }
 
@@ -216,7 +216,7 @@
 
     /// Returns the others that came up (`true`) or went silent (`false`) since
     /// the last call.
-    pub fn changes(&mut self, now_ms: u64) -> Vec<(IpAddr, bool)> {
+    pub fn take_changes(&mut self, now_ms: u64) -> Vec<(IpAddr, bool)> {
         self.others
             .iter_mut()
             .filter_map(|(ip, member)| {
--- a/crates/raildale-core/tests/members.rs
+++ b/crates/raildale-core/tests/members.rs
@@ -130,11 +130,15 @@
 #[test]
 fn one_that_falls_silent_is_told_once() {
     let mut members = members();
-    assert_eq!(members.changes(START_MS).len(), 5, "all came up");
+    assert_eq!(members.take_changes(START_MS).len(), 5, "all came up");
     let later_ms = START_MS + SILENT_MS + 1;
     members.on_heartbeat(later_ms, entry("a", 2), ready());
-    assert_eq!(members.changes(later_ms).len(), 4, "all others fell silent");
-    assert_eq!(members.changes(later_ms), vec![]);
+    assert_eq!(
+        members.take_changes(later_ms).len(),
+        4,
+        "all others fell silent"
+    );
+    assert_eq!(members.take_changes(later_ms), vec![]);
 }
 
 #[test]
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -202,7 +202,7 @@
     P: Dialect + Store + 'static,
 {
     let now = now_ms();
-    let members = host.members.borrow_mut().changes(now);
+    let members = host.members.borrow_mut().take_changes(now);
     for (ip, is_up) in members {
         let event =
             if is_up { LogEvent::MemberUp } else { LogEvent::MemberDown };
