--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -334,7 +334,7 @@
     /// has not passed yet. Entry hosts of the own data centre are preferred.
     /// `draw` selects among several, so that not all ask the same one. A
     /// watcher waits first, unless it knows nothing of the kind yet.
-    pub fn ahead(
+    pub fn find_ahead(
         &mut self,
         now_ms: u64,
         kind: Kind,
--- a/crates/raildale-core/tests/members.rs
+++ b/crates/raildale-core/tests/members.rs
@@ -82,15 +82,15 @@
     members.on_heartbeat(START_MS, entry("b", 4), ahead);
     let kind = Kind::Configuration;
     assert_eq!(
-        members.ahead(START_MS, kind, known(0, 8), 0),
+        members.find_ahead(START_MS, kind, known(0, 8), 0),
         None,
         "the watch may bring it"
     );
-    let asked = members.ahead(START_MS, kind, known(0, 0), 0);
+    let asked = members.find_ahead(START_MS, kind, known(0, 0), 0);
     assert_eq!(asked, Some(entry("b", 4).ip), "nothing is known yet");
-    let asked = members.ahead(START_MS + 300, kind, known(0, 8), 0);
+    let asked = members.find_ahead(START_MS + 300, kind, known(0, 8), 0);
     assert_eq!(asked, Some(entry("b", 4).ip));
-    assert_eq!(members.ahead(START_MS + 301, kind, known(0, 9), 0), None);
+    assert_eq!(members.find_ahead(START_MS + 301, kind, known(0, 9), 0), None);
 }
 
 /// Revisions go back when the store is restored.
@@ -104,8 +104,8 @@
     let kind = Kind::Configuration;
     let asked = |members: &mut Members, changed: Stamp| {
         let own = Extent { changed, oldest_era: 0 };
-        members.ahead(START_MS, kind, own, 0);
-        members.ahead(START_MS + 300, kind, own, 0)
+        members.find_ahead(START_MS, kind, own, 0);
+        members.find_ahead(START_MS + 300, kind, own, 0)
     };
     let ip = Some(entry("b", 4).ip);
     assert_eq!(asked(&mut members, Stamp::new(0, 9)), ip);
@@ -120,11 +120,11 @@
     let heartbeat = Heartbeat { extents: vec![knew], ..ready() };
     members.on_heartbeat(START_MS, entry("b", 4), heartbeat);
     let kind = Kind::Configuration;
-    members.ahead(START_MS, kind, known(1, 6), 0);
-    let asked = members.ahead(START_MS + 300, kind, known(1, 6), 0);
+    members.find_ahead(START_MS, kind, known(1, 6), 0);
+    let asked = members.find_ahead(START_MS + 300, kind, known(1, 6), 0);
     assert_eq!(asked, Some(entry("b", 4).ip));
     let own = Extent { oldest_era: 0, ..known(1, 6) };
-    assert_eq!(members.ahead(START_MS + 301, kind, own, 0), None);
+    assert_eq!(members.find_ahead(START_MS + 301, kind, own, 0), None);
 }
 
 #[test]
@@ -186,7 +186,7 @@
     members.on_heartbeat(START_MS, entry("b", 7), ahead());
     let kind = Kind::Configuration;
     let asked: Vec<_> = (0..4)
-        .map(|draw| members.ahead(START_MS, kind, known(0, 8), draw))
+        .map(|draw| members.find_ahead(START_MS, kind, known(0, 8), draw))
         .collect();
     let near = [2, 3].map(|last| Some(entry("a", last).ip));
     assert_eq!(asked, [near, near].concat(), "shared among those here");
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -197,7 +197,7 @@
                 members.on_heartbeat(now_ms, entry(host), beat);
             }
             if members
-                .ahead(now_ms, Kind::Configuration, known(5), 0)
+                .find_ahead(now_ms, Kind::Configuration, known(5), 0)
                 .is_some()
             {
                 return now_ms - START_MS;
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -335,7 +335,8 @@
         }
         let own = host.known.extent(kind);
         let draw = rand::random_range(0..usize::from(u16::MAX));
-        let ahead = host.members.borrow_mut().ahead(now_ms(), kind, own, draw);
+        let ahead =
+            host.members.borrow_mut().find_ahead(now_ms(), kind, own, draw);
         if let Some(ip) = ahead {
             host.set_asking(kind, true);
             tokio::task::spawn_local(snapshots::ask(host.clone(), ip, kind));
