--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -73,7 +73,7 @@
     /// When entry hosts that recently left the list did so.
     delisted_ms: BTreeMap<IpAddr, u64>,
     /// The round trips to the relays of other data centres.
-    ways: relays::Ways,
+    round_trips: relays::RelayRoundTrips,
     /// Since when another entry host has been ahead, by kind.
     behind_since_ms: BTreeMap<Kind, u64>,
 }
@@ -130,7 +130,7 @@
             others: BTreeMap::new(),
             is_listed: false,
             delisted_ms: BTreeMap::new(),
-            ways: relays::Ways::default(),
+            round_trips: relays::RelayRoundTrips::default(),
             behind_since_ms: BTreeMap::new(),
         }
     }
--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -172,15 +172,15 @@
     }
 
     /// Returns the round trips to the relays of other data centres.
-    pub fn ways(&mut self) -> &mut Ways {
-        &mut self.ways
+    pub fn round_trips(&mut self) -> &mut RelayRoundTrips {
+        &mut self.round_trips
     }
 }
 
 /// Round trips to the relays of other data centres, measured by the timestamps
 /// that each side echoes.
 #[derive(Debug, Default)]
-pub struct Ways {
+pub struct RelayRoundTrips {
     by_relay: BTreeMap<u32, Way>,
 }
 
@@ -195,11 +195,11 @@
     round_trip_ms: u64,
 }
 
-impl Ways {
+impl RelayRoundTrips {
     /// Records a digest that the relay at `relay_ip` sent at `sent_ms` on its
     /// clock, with its `echoes` of digests from here. Returns the round trip
     /// in milliseconds, 0 if it has not been measured yet.
-    pub fn note(
+    pub fn record(
         &mut self,
         now_ms: u64,
         relay_ip: u32,
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -11,7 +11,7 @@
     fleet_message::{DigestEntryHost, Echo},
     members::{
         Heartbeat, MAX_WATCHER_CANDIDATES, MemberEntry, Members, SILENT_MS,
-        relays::{RELAYS, Ways},
+        relays::{RELAYS, RelayRoundTrips},
     },
 };
 
@@ -213,20 +213,24 @@
 
 #[test]
 fn the_way_to_a_relay_is_measured_by_its_echo() {
-    let mut ways = Ways::default();
+    let mut round_trips = RelayRoundTrips::default();
     let own = ip(0);
     let IpAddr::V4(own_address) = own else { panic!("an IPv4 address") };
-    assert_eq!(ways.note(START_MS, 5, 77, own, &[]), 0, "no echo yet");
+    assert_eq!(
+        round_trips.record(START_MS, 5, 77, own, &[]),
+        0,
+        "no echo yet"
+    );
     let echo = Echo {
         ip: u32::from(own_address),
         sent_ms: START_MS - 500,
         age_ms: 380,
     };
-    assert_eq!(ways.note(START_MS, 5, 78, own, &[echo]), 120);
-    let back = ways.echoes(START_MS + 30);
+    assert_eq!(round_trips.record(START_MS, 5, 78, own, &[echo]), 120);
+    let back = round_trips.echoes(START_MS + 30);
     assert_eq!(back.len(), 1);
     assert_eq!((back[0].sent_ms, back[0].age_ms), (78, 30));
-    assert_eq!(ways.echoes(START_MS + 5_000), [], "it fell silent");
+    assert_eq!(round_trips.echoes(START_MS + 5_000), [], "it fell silent");
 }
 
 /// While the store is away from everybody, a few of each data centre go on
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -61,7 +61,7 @@
         entry_hosts: members.digest_entry_hosts(now),
         targets: heard_targets(host),
         sent_ms: now,
-        echoes: members.ways().echoes(now),
+        echoes: members.round_trips().echoes(now),
         round_trip_ms: 0,
     })
 }
@@ -96,7 +96,7 @@
         .is_some_and(|hello| hello.data_centre == host.node.data_centre);
     let is_first_hand = from == relay_ip && !is_near;
     if is_first_hand {
-        digest.round_trip_ms = host.members.borrow_mut().ways().note(
+        digest.round_trip_ms = host.members.borrow_mut().round_trips().record(
             now_ms(),
             digest.relay_ip,
             digest.sent_ms,
