--- a/crates/raildale-core/src/catalog/mirror.rs
+++ b/crates/raildale-core/src/catalog/mirror.rs
@@ -54,25 +54,25 @@
         progress: impl Fn(&StoredObject) -> Option<Progress>,
     ) -> Vec<Change> {
         if self.is_known && snapshot.stamp < self.stamp {
-            return self.take_further(snapshot.objects, &progress);
+            return self.apply_progress(snapshot.objects, &progress);
         }
         let is_restored = self.is_known && snapshot.stamp.era > self.stamp.era;
-        let leave = if is_restored { Change::Lost } else { Change::Deleted };
+        let removal = if is_restored { Change::Lost } else { Change::Deleted };
         let mut known = std::mem::take(&mut self.objects);
         let mut puts = Vec::new();
-        for told in snapshot.objects {
-            let kept = known
-                .remove(&told.name)
-                .filter(|known| !gives_way(known, &told, &progress));
-            if kept.is_none() {
-                puts.push(Change::Put(told.clone()));
+        for received in snapshot.objects {
+            let retained = known
+                .remove(&received.name)
+                .filter(|known| !is_superseded(known, &received, &progress));
+            if retained.is_none() {
+                puts.push(Change::Put(received.clone()));
             }
-            let object = kept.unwrap_or(told);
+            let object = retained.unwrap_or(received);
             self.objects.insert(object.name.clone(), object);
         }
         self.stamp = snapshot.stamp;
         self.is_known = true;
-        known.into_keys().map(leave).chain(puts).collect()
+        known.into_keys().map(removal).chain(puts).collect()
     }
 
     /// Applies changes that lead up to `stamp` and returns those that had an
@@ -88,13 +88,14 @@
             return Vec::new();
         }
         self.stamp = stamp;
-        let is_news = |change: &Change| self.take(change, &progress);
-        changes.into_iter().filter(is_news).collect()
+        let is_applied =
+            |change: &Change| self.apply_change(change, &progress);
+        changes.into_iter().filter(is_applied).collect()
     }
 
     /// Applies those objects that supersede the known objects of the same
     /// names, and returns the changes.
-    fn take_further(
+    fn apply_progress(
         &mut self,
         objects: Vec<StoredObject>,
         progress: &impl Fn(&StoredObject) -> Option<Progress>,
@@ -103,23 +104,25 @@
         let known: Vec<StoredObject> =
             objects.into_iter().filter(is_known).collect();
         let puts = known.into_iter().map(Change::Put);
-        puts.filter(|put| self.take(put, progress)).collect()
+        puts.filter(|put| self.apply_change(put, progress)).collect()
     }
 
-    fn take(
+    fn apply_change(
         &mut self,
         change: &Change,
         progress: &impl Fn(&StoredObject) -> Option<Progress>,
     ) -> bool {
         match change {
-            Change::Put(told) => {
-                let known = self.objects.get(&told.name);
-                let is_news =
-                    known.is_none_or(|known| gives_way(known, told, progress));
-                if is_news {
-                    self.objects.insert(told.name.clone(), told.clone());
+            Change::Put(received) => {
+                let known = self.objects.get(&received.name);
+                let is_applied = known.is_none_or(|known| {
+                    is_superseded(known, received, progress)
+                });
+                if is_applied {
+                    self.objects
+                        .insert(received.name.clone(), received.clone());
                 }
-                is_news
+                is_applied
             }
             Change::Deleted(name) | Change::Lost(name) => {
                 self.objects.remove(name).is_some()
@@ -132,18 +135,18 @@
 /// name: within an era by a later one, and across eras by one with further
 /// progress, or by a later one if their progress is equal or cannot be
 /// compared.
-fn gives_way(
+fn is_superseded(
     known: &StoredObject,
-    told: &StoredObject,
+    received: &StoredObject,
     progress: &impl Fn(&StoredObject) -> Option<Progress>,
 ) -> bool {
-    let is_later = told.stamp > known.stamp;
-    if known.stamp.era == told.stamp.era {
+    let is_later = received.stamp > known.stamp;
+    if known.stamp.era == received.stamp.era {
         return is_later;
     }
-    match (progress(known), progress(told)) {
-        (Some(known), Some(told)) if known.subject == told.subject => {
-            match told.level.cmp(&known.level) {
+    match (progress(known), progress(received)) {
+        (Some(known), Some(received)) if known.subject == received.subject => {
+            match received.level.cmp(&known.level) {
                 std::cmp::Ordering::Greater => true,
                 std::cmp::Ordering::Equal => is_later,
                 std::cmp::Ordering::Less => false,
--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -51,14 +51,14 @@
     /// list.
     known_ms: u64,
     /// Its last heartbeat; `None` if none has been received.
-    heard: Option<Heard>,
+    last_heartbeat: Option<ReceivedHeartbeat>,
     /// Whether the last call of [`Members::take_changes`] saw it as up.
-    is_told_up: bool,
+    was_reported_up: bool,
 }
 
 /// A received heartbeat.
 #[derive(Debug)]
-struct Heard {
+struct ReceivedHeartbeat {
     at_ms: u64,
     heartbeat: Heartbeat,
 }
@@ -97,30 +97,30 @@
 /// Another entry host is not counted as a watcher after this many milliseconds
 /// without a heartbeat: slightly more than two heartbeat intervals. Less than
 /// [`SILENT_MS`], since changes must be in force within two seconds.
-const WATCHER_SILENT_MS: u64 = 900;
+const WATCHER_TIMEOUT_MS: u64 = 900;
 
 /// A listed entry host without a heartbeat counts as alive for this many
 /// milliseconds: slightly longer than the allowed silence.
-const GREETING_MS: u64 = 1_500;
+const FIRST_HEARTBEAT_TIMEOUT_MS: u64 = 1_500;
 
 /// How long a departure from the list is remembered, in milliseconds. A copy
 /// from which the store is restored is a few seconds old.
-const DELISTED_KEPT_MS: u64 = 60_000;
+const DELISTED_RETENTION_MS: u64 = 60_000;
 
 /// How long another entry host may be ahead before it is asked, in
 /// milliseconds. This host's own watch of the store usually delivers the same
 /// change by then.
-const AHEAD_MS: u64 = 250;
+const AHEAD_DELAY_MS: u64 = 250;
 
 /// How long only entry hosts of other data centres may be ahead in a large
 /// fleet before a watcher asks them, in milliseconds. The watcher's own watch
 /// is delayed by less than that unless its connection to the store is cut.
-const FAR_AHEAD_MS: u64 = 500;
+const REMOTE_AHEAD_DELAY_MS: u64 = 500;
 
 /// The same for an entry host that is not a watcher, in milliseconds. The
 /// watchers of its data centre have asked by then, so the answer crosses
 /// between data centres only once or twice.
-const FAR_AHEAD_OTHERS_MS: u64 = 1_300;
+const NON_WATCHER_AHEAD_DELAY_MS: u64 = 1_300;
 
 impl Members {
     /// Creates the state of an entry host that knows no others.
@@ -143,7 +143,7 @@
     /// Replaces the store's list. An entry host that is no longer listed is
     /// kept while its heartbeats arrive.
     pub fn set_listed(&mut self, now_ms: u64, listed: Vec<MemberEntry>) {
-        self.delisted_ms.retain(|_, ms| now_ms < *ms + DELISTED_KEPT_MS);
+        self.delisted_ms.retain(|_, ms| now_ms < *ms + DELISTED_RETENTION_MS);
         self.others.retain(|ip, member| {
             if listed.iter().any(|entry| entry.ip == *ip) {
                 return true;
@@ -170,12 +170,12 @@
         // A store that was restored from an older copy may list an entry host
         // again that has ended: it counts as alive only after a heartbeat.
         let was_delisted = self.delisted_ms.contains_key(&entry.ip);
-        let greeted_ms = if was_delisted { GREETING_MS } else { 0 };
+        let age_ms = if was_delisted { FIRST_HEARTBEAT_TIMEOUT_MS } else { 0 };
         let known = self.others.entry(entry.ip).or_insert_with(|| Member {
             entry: entry.clone(),
-            known_ms: now_ms.saturating_sub(greeted_ms),
-            heard: None,
-            is_told_up: false,
+            known_ms: now_ms.saturating_sub(age_ms),
+            last_heartbeat: None,
+            was_reported_up: false,
         });
         known.entry = entry;
     }
@@ -192,7 +192,8 @@
         self.add(now_ms, entry);
         let Some(member) = self.others.get_mut(&ip) else { return false };
         let is_new = !is_heard(member, now_ms);
-        member.heard = Some(Heard { at_ms: now_ms, heartbeat });
+        member.last_heartbeat =
+            Some(ReceivedHeartbeat { at_ms: now_ms, heartbeat });
         is_new
     }
 
@@ -206,7 +207,7 @@
         self.others
             .values()
             .filter(|member| {
-                let heard = member.heard.as_ref();
+                let heard = member.last_heartbeat.as_ref();
                 let last_ms = heard.map_or(member.known_ms, |h| h.at_ms);
                 now_ms.saturating_sub(last_ms) > ms
             })
@@ -221,9 +222,9 @@
             .iter_mut()
             .filter_map(|(ip, member)| {
                 let is_up = is_heard(member, now_ms);
-                let is_news = is_up != member.is_told_up;
-                member.is_told_up = is_up;
-                is_news.then_some((*ip, is_up))
+                let is_changed = is_up != member.was_reported_up;
+                member.was_reported_up = is_up;
+                is_changed.then_some((*ip, is_up))
             })
             .collect()
     }
@@ -243,30 +244,30 @@
         let (before, after): (Vec<_>, Vec<_>) =
             alive.partition(|(ip, _)| **ip < self.own.ip);
         let other = |(_, member): &(&IpAddr, &Member)| {
-            let heard = member.heard.as_ref();
+            let heard = member.last_heartbeat.as_ref();
             let demand = heard.map_or(0.0, |h| h.heartbeat.demand_per_s);
             sender(&member.entry, demand)
         };
         let own = sender(&self.own, own_demand_per_s);
-        let place = before.len();
+        let index = before.len();
         let senders = before
             .iter()
             .map(other)
             .chain([own])
             .chain(after.iter().map(other))
             .collect();
-        (senders, place)
+        (senders, index)
     }
 
     /// Returns whether no live entry host is nearer to a data centre than this
     /// one. An entry host in the data centre is nearest; if it has none, all
     /// are equally near.
     pub fn is_nearest(&self, now_ms: u64, data_centre: &str) -> bool {
-        let stands_there =
+        let is_in_centre =
             |entry: &MemberEntry| *entry.data_centre == *data_centre;
         let others = self.others.values();
         let mut alive = others.filter(|member| is_alive(member, now_ms));
-        stands_there(&self.own) || !alive.any(|m| stands_there(&m.entry))
+        is_in_centre(&self.own) || !alive.any(|m| is_in_centre(&m.entry))
     }
 
     /// Returns whether this entry host should watch the store: it must be
@@ -275,15 +276,16 @@
     /// [`MAX_WATCHER_CANDIDATES`] that are heard.
     pub fn is_watcher(&self, now_ms: u64) -> bool {
         let before = self.others.range(..self.own.ip).filter_map(|(_, m)| {
-            let beat = heartbeat_within(m, now_ms, WATCHER_SILENT_MS)?;
+            let beat = heartbeat_within(m, now_ms, WATCHER_TIMEOUT_MS)?;
             let is_here = m.entry.data_centre == self.own.data_centre;
             (is_here && !beat.is_leaving).then_some(beat.sees_store)
         });
         let before: Vec<bool> = before.collect();
-        let seeing = before.iter().filter(|sees_store| **sees_store).count();
-        let is_tried =
+        let seeing_count =
+            before.iter().filter(|sees_store| **sees_store).count();
+        let is_candidate =
             !self.is_large() || before.len() < MAX_WATCHER_CANDIDATES;
-        seeing < WATCHERS && is_tried
+        seeing_count < WATCHERS && is_candidate
     }
 
     /// Returns the addresses for callers in a data centre: the entry hosts
@@ -298,12 +300,13 @@
         draw: usize,
     ) -> Vec<IpAddr> {
         let open = self.open_entries(now_ms, is_own_open);
-        let fair = fair_count(&open);
-        let (here, elsewhere): (Vec<_>, Vec<_>) =
+        let fair_share = fair_share(&open);
+        let (local, remote): (Vec<_>, Vec<_>) =
             open.into_iter().partition(|e| &*e.data_centre == data_centre);
-        let missing = fair.saturating_sub(here.len());
-        let helpers = helpers(elsewhere, missing, draw);
-        here.into_iter()
+        let missing = fair_share.saturating_sub(local.len());
+        let helpers = helpers(remote, missing, draw);
+        local
+            .into_iter()
             .chain(helpers.into_iter().take(missing))
             .map(|entry| entry.ip)
             .collect()
@@ -343,20 +346,20 @@
     ) -> Option<IpAddr> {
         let knows_some = own.changed > Stamp::default();
         let ahead = self.nearest_ahead(now_ms, kind, own);
-        let Some(place) = draw.checked_rem(ahead.len()) else {
+        let Some(index) = draw.checked_rem(ahead.len()) else {
             self.behind_since_ms.remove(&kind);
             return None;
         };
-        let ip = ahead[place];
-        let is_near = self.reaches(ip);
-        let patience_ms = match (self.is_watcher(now_ms), is_near) {
-            (true, true) if knows_some => AHEAD_MS,
-            (true, false) if knows_some => FAR_AHEAD_MS,
+        let ip = ahead[index];
+        let is_neighbour = self.reaches_member(ip);
+        let delay_ms = match (self.is_watcher(now_ms), is_neighbour) {
+            (true, true) if knows_some => AHEAD_DELAY_MS,
+            (true, false) if knows_some => REMOTE_AHEAD_DELAY_MS,
             (true, _) | (false, true) => 0,
-            (false, false) => FAR_AHEAD_OTHERS_MS,
+            (false, false) => NON_WATCHER_AHEAD_DELAY_MS,
         };
         let since_ms = *self.behind_since_ms.entry(kind).or_insert(now_ms);
-        let is_due = now_ms.saturating_sub(since_ms) >= patience_ms;
+        let is_due = now_ms.saturating_sub(since_ms) >= delay_ms;
         is_due.then_some(ip)
     }
 
@@ -368,7 +371,7 @@
         kind: Kind,
         own: Extent,
     ) -> Vec<IpAddr> {
-        let (here, elsewhere): (Vec<&Member>, Vec<&Member>) = self
+        let (local, remote): (Vec<&Member>, Vec<&Member>) = self
             .others
             .values()
             .filter(|member| is_heard(member, now_ms))
@@ -377,14 +380,14 @@
                 known.is_some_and(|known| known.adds_to(&own))
             })
             .partition(|m| m.entry.data_centre == self.own.data_centre);
-        let nearest = if here.is_empty() { elsewhere } else { here };
+        let nearest = if local.is_empty() { remote } else { local };
         nearest.into_iter().map(|member| member.entry.ip).collect()
     }
 }
 
 /// Returns the number of entry hosts for each data centre's callers if all
 /// were shared evenly.
-fn fair_count(open: &[&MemberEntry]) -> usize {
+fn fair_share(open: &[&MemberEntry]) -> usize {
     let mut centres: Vec<&str> =
         open.iter().map(|entry| &*entry.data_centre).collect();
     centres.sort_unstable();
@@ -396,22 +399,25 @@
 /// rotated by `draw`: those of the data centres with the most entry hosts, if
 /// there are at least `missing` of them, or else all.
 fn helpers(
-    elsewhere: Vec<&MemberEntry>,
+    remote: Vec<&MemberEntry>,
     missing: usize,
     draw: usize,
 ) -> Vec<&MemberEntry> {
-    let crowd = |entry: &MemberEntry| {
+    let host_count = |entry: &MemberEntry| {
         let centre = &entry.data_centre;
-        elsewhere.iter().filter(|e| e.data_centre == *centre).count()
+        remote.iter().filter(|e| e.data_centre == *centre).count()
     };
-    let most = elsewhere.iter().map(|e| crowd(e)).max().unwrap_or(0);
-    let crowded: Vec<&MemberEntry> =
-        elsewhere.iter().copied().filter(|e| crowd(e) == most).collect();
-    let is_enough = crowded.len() >= missing;
-    let mut helpers = if is_enough { crowded } else { elsewhere };
+    let max_count = remote.iter().map(|e| host_count(e)).max().unwrap_or(0);
+    let largest: Vec<&MemberEntry> = remote
+        .iter()
+        .copied()
+        .filter(|e| host_count(e) == max_count)
+        .collect();
+    let is_enough = largest.len() >= missing;
+    let mut helpers = if is_enough { largest } else { remote };
     if !helpers.is_empty() {
-        let turn = draw % helpers.len();
-        helpers.rotate_left(turn);
+        let offset = draw % helpers.len();
+        helpers.rotate_left(offset);
     }
     helpers
 }
@@ -419,9 +425,9 @@
 /// Returns the extent of a member's knowledge of a kind, from its last
 /// heartbeat.
 fn extent(member: &Member, kind: Kind) -> Option<Extent> {
-    let heard = member.heard.as_ref()?;
-    let place = kind.number() as usize;
-    heard.heartbeat.extents.get(place).copied()
+    let heard = member.last_heartbeat.as_ref()?;
+    let index = kind.number() as usize;
+    heard.heartbeat.extents.get(index).copied()
 }
 
 fn is_heard(member: &Member, now_ms: u64) -> bool {
@@ -434,23 +440,25 @@
     now_ms: u64,
     ms: u64,
 ) -> Option<&Heartbeat> {
-    let heard = member.heard.as_ref()?;
-    let is_young = now_ms.saturating_sub(heard.at_ms) < ms;
-    is_young.then_some(&heard.heartbeat)
+    let heard = member.last_heartbeat.as_ref()?;
+    let is_recent = now_ms.saturating_sub(heard.at_ms) < ms;
+    is_recent.then_some(&heard.heartbeat)
 }
 
 fn is_alive(member: &Member, now_ms: u64) -> bool {
-    match member.heard {
+    match member.last_heartbeat {
         Some(_) => is_heard(member, now_ms),
-        None => now_ms.saturating_sub(member.known_ms) < GREETING_MS,
+        None => {
+            now_ms.saturating_sub(member.known_ms) < FIRST_HEARTBEAT_TIMEOUT_MS
+        }
     }
 }
 
 fn is_open(member: &Member, now_ms: u64) -> bool {
-    let is_welcoming = member
-        .heard
+    let accepts_callers = member
+        .last_heartbeat
         .as_ref()
         .map(|heard| &heard.heartbeat)
         .is_none_or(|beat| beat.is_ready && !beat.is_leaving);
-    is_alive(member, now_ms) && is_welcoming
+    is_alive(member, now_ms) && accepts_callers
 }
--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -11,8 +11,8 @@
 use std::{collections::BTreeMap, net::IpAddr};
 
 use super::{
-    Heard, Heartbeat, Member, Members, SILENT_MS, WATCHER_SILENT_MS,
-    heartbeat_within,
+    Heartbeat, Member, Members, ReceivedHeartbeat, SILENT_MS,
+    WATCHER_TIMEOUT_MS, heartbeat_within,
 };
 use crate::{
     Name,
@@ -21,7 +21,7 @@
 
 /// The maximum number of entry hosts that all communicate with each other and
 /// with every agent. 48 of them exchange 5,600 heartbeats a second, 117 each.
-const MESH_MOST: usize = 48;
+const MAX_MESH_MEMBERS: usize = 48;
 
 /// The number of relays of a data centre. The second one covers for a relay
 /// that has died or frozen without this being detected yet.
@@ -33,13 +33,13 @@
 
 /// How long a measured round trip to another data centre is valid, in
 /// milliseconds: three digests.
-const WAY_FRESH_MS: u64 = 2_400;
+const MAX_ROUND_TRIP_AGE_MS: u64 = 2_400;
 
 impl Members {
     /// Returns whether the fleet is too large for all entry hosts to
     /// communicate with each other.
     pub fn is_large(&self) -> bool {
-        self.others.len() >= MESH_MOST
+        self.others.len() >= MAX_MESH_MEMBERS
     }
 
     /// Returns whether this entry host exchanges heartbeats with those of a
@@ -50,7 +50,7 @@
 
     /// Returns whether this entry host exchanges heartbeats with the one at
     /// `ip`.
-    pub(super) fn reaches(&self, ip: IpAddr) -> bool {
+    pub(super) fn reaches_member(&self, ip: IpAddr) -> bool {
         let member = self.others.get(&ip);
         member.is_none_or(|m| self.reaches_data_centre(&m.entry.data_centre))
     }
@@ -82,18 +82,18 @@
         }
         let own = (self.own.ip, is_own_ready);
         let here = self.own.data_centre.clone();
-        let heard_ms = WATCHER_SILENT_MS;
+        let heard_ms = WATCHER_TIMEOUT_MS;
         let relays = self.ranked(now_ms, &here, heard_ms, Some(own));
         relays.iter().take(RELAYS).position(|ip| *ip == self.own.ip)
     }
 
-    /// Returns the recipients of the digest of the relay at index `place`: in
-    /// each other data centre the relay of the same index or, if none is heard
+    /// Returns the recipients of the digest of the relay with `index`: in each
+    /// other data centre the relay of the same index or, if none is heard
     /// there, a listed entry host selected by `draw`.
     pub fn digest_recipients(
         &self,
         now_ms: u64,
-        place: usize,
+        index: usize,
         draw: usize,
     ) -> Vec<IpAddr> {
         let mut centres: BTreeMap<&Name, Vec<IpAddr>> = BTreeMap::new();
@@ -107,7 +107,7 @@
             let relays = self.ranked(now_ms, centre, SILENT_MS, None);
             match relays.len() {
                 0 => listed[draw % listed.len()],
-                count => relays[place.min(count - 1)],
+                count => relays[index.min(count - 1)],
             }
         };
         centres.into_iter().map(recipient).collect()
@@ -157,18 +157,19 @@
     /// Records the state of another entry host from a digest. An entry host
     /// that is on no list is ignored. A digest does not carry its knowledge of
     /// the store, so that stays as it was.
-    pub fn on_digest_entry(&mut self, now_ms: u64, told: &DigestEntryHost) {
-        let ip = IpAddr::V4(told.ip.into());
+    pub fn on_digest_entry(&mut self, now_ms: u64, entry: &DigestEntryHost) {
+        let ip = IpAddr::V4(entry.ip.into());
         let Some(member) = self.others.get_mut(&ip) else { return };
-        let before = member.heard.take();
-        let known = before.map(|heard| heard.heartbeat).unwrap_or_default();
+        let previous = member.last_heartbeat.take();
+        let known = previous.map(|heard| heard.heartbeat).unwrap_or_default();
         let heartbeat = Heartbeat {
-            is_ready: told.is_ready,
-            is_leaving: told.is_leaving,
-            demand_per_s: f64::from(told.demand_per_s),
+            is_ready: entry.is_ready,
+            is_leaving: entry.is_leaving,
+            demand_per_s: f64::from(entry.demand_per_s),
             ..known
         };
-        member.heard = Some(Heard { at_ms: now_ms, heartbeat });
+        member.last_heartbeat =
+            Some(ReceivedHeartbeat { at_ms: now_ms, heartbeat });
     }
 
     /// Returns the round trips to the relays of other data centres.
@@ -181,16 +182,16 @@
 /// that each side echoes.
 #[derive(Debug, Default)]
 pub struct RelayRoundTrips {
-    by_relay: BTreeMap<u32, Way>,
+    by_relay: BTreeMap<u32, RoundTrip>,
 }
 
 /// The round trip to one relay.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct RoundTrip {
     /// The sending time of the relay's last digest, on its clock.
     sent_ms: u64,
     /// When that digest was received.
-    came_ms: u64,
+    received_ms: u64,
     /// The round trip in milliseconds; 0 if not measured.
     round_trip_ms: u64,
 }
@@ -208,16 +209,19 @@
         echoes: &[Echo],
     ) -> u64 {
         let own = echoes.iter().find(|e| IpAddr::V4(e.ip.into()) == own_ip);
-        let before = self.by_relay.get(&relay_ip);
-        let before_ms = before
-            .filter(|way| now_ms < way.came_ms + WAY_FRESH_MS)
-            .map_or(0, |way| way.round_trip_ms);
-        let round_trip_ms = own.map_or(before_ms, |echo| {
+        let previous = self.by_relay.get(&relay_ip);
+        let previous_ms = previous
+            .filter(|measured| {
+                now_ms < measured.received_ms + MAX_ROUND_TRIP_AGE_MS
+            })
+            .map_or(0, |measured| measured.round_trip_ms);
+        let round_trip_ms = own.map_or(previous_ms, |echo| {
             let since_ms = now_ms.saturating_sub(echo.sent_ms);
             since_ms.saturating_sub(echo.age_ms)
         });
-        let way = Way { sent_ms, came_ms: now_ms, round_trip_ms };
-        self.by_relay.insert(relay_ip, way);
+        let measured =
+            RoundTrip { sent_ms, received_ms: now_ms, round_trip_ms };
+        self.by_relay.insert(relay_ip, measured);
         round_trip_ms
     }
 
@@ -225,11 +229,13 @@
     pub fn echoes(&self, now_ms: u64) -> Vec<Echo> {
         self.by_relay
             .iter()
-            .filter(|(_, way)| now_ms < way.came_ms + WAY_FRESH_MS)
-            .map(|(ip, way)| Echo {
+            .filter(|(_, measured)| {
+                now_ms < measured.received_ms + MAX_ROUND_TRIP_AGE_MS
+            })
+            .map(|(ip, measured)| Echo {
                 ip: *ip,
-                sent_ms: way.sent_ms,
-                age_ms: now_ms.saturating_sub(way.came_ms),
+                sent_ms: measured.sent_ms,
+                age_ms: now_ms.saturating_sub(measured.received_ms),
             })
             .collect()
     }
