--- a/crates/raildale-core/tests/catalog.rs
+++ b/crates/raildale-core/tests/catalog.rs
@@ -1,4 +1,5 @@
-//! What is known of the store never goes back, and follows a restore.
+//! Knowledge of the store is never reverted by late data, and follows a
+//! restore.
 
 use bytes::Bytes;
 use raildale_core::{
@@ -19,7 +20,7 @@
     Snapshot { stamp: at(revision), objects }
 }
 
-/// Objects that may go back.
+/// No progress: objects may go back to an earlier state.
 fn none(_: &StoredObject) -> Option<Progress> {
     None
 }
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_snapshot_tells_what_came_changed_and_went() {
+fn a_snapshot_yields_additions_changes_and_deletions() {
     let mut mirror = Mirror::new();
     replace(&mut mirror, snapshot(5, vec![object("a", 3), object("b", 4)]));
     let changes = replace(
@@ -79,7 +80,7 @@
     Snapshot { stamp, objects: objects.collect() }
 }
 
-/// The same revision names two changes, before and after a restore.
+/// After a restore a revision may denote another change than before.
 #[test]
 fn a_restored_store_is_believed() {
     let mut mirror = Mirror::new();
@@ -107,9 +108,9 @@
     assert_eq!(mirror.get("a").map(|o| &o.body[..]), Some(&b"new"[..]));
 }
 
-/// Changes of another era may have left out what was written before them.
+/// Changes of another era may omit what was written before them.
 #[test]
-fn changes_do_not_lead_from_one_era_to_another() {
+fn changes_of_another_era_are_ignored() {
     let mut mirror = Mirror::new();
     replace(&mut mirror, snapshot(9, vec![object("a", 8)]));
     let stamp = Stamp::new(1, 12);
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn what_a_restore_lacks_is_lost_and_not_deleted() {
+fn objects_missing_after_a_restore_are_lost_not_deleted() {
     let mut mirror = Mirror::new();
     replace(&mut mirror, snapshot(9, vec![object("a", 3)]));
     let changes = replace(&mut mirror, restored(2, vec![]));
@@ -129,8 +130,8 @@
     assert_eq!(changes, [Change::Deleted("a".into())]);
 }
 
-/// The level of an object is the length of its body, and its subject the
-/// first letter.
+/// Uses the length of an object's body as its level, and the first byte as its
+/// subject.
 fn by_length(object: &StoredObject) -> Option<Progress> {
     let subject = u64::from(*object.body.first()?);
     Some(Progress { subject, level: object.body.len() as u64 })
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn what_has_come_further_outlasts_a_restore() {
+fn objects_with_further_progress_survive_a_restore() {
     let mut mirror = Mirror::new();
     let body = |text: &'static str, revision: u64| {
         let body = Bytes::from(text);
@@ -157,10 +158,10 @@
     assert_eq!(mirror.replace(next, by_length).len(), 1, "another subject");
 }
 
-/// One that knows the store only since its restore hears from one that knew
-/// it before.
+/// A process that knows the store only since its restore receives a snapshot
+/// of one that knew it before.
 #[test]
-fn an_older_snapshot_tells_what_has_come_further() {
+fn an_older_snapshot_supplies_objects_with_further_progress() {
     let mut mirror = Mirror::new();
     mirror.replace(restored(4, vec![("a", 4, "x")]), by_length);
     let body = Bytes::from("xxx");
--- a/crates/raildale-core/tests/members.rs
+++ b/crates/raildale-core/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which entry hosts callers are told of.
+//! The entry hosts, and the addresses that callers receive.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -35,7 +35,7 @@
     members
 }
 
-fn told(members: &Members, now_ms: u64, centre: &str) -> Vec<u8> {
+fn addresses(members: &Members, now_ms: u64, centre: &str) -> Vec<u8> {
     members
         .addresses_for(now_ms, centre, true, 0)
         .into_iter()
@@ -47,36 +47,36 @@
 }
 
 #[test]
-fn callers_are_sent_near_and_evenly() {
+fn callers_get_near_addresses_evenly() {
     let members = members();
-    assert_eq!(told(&members, START_MS, "a"), [1, 2, 3]);
-    assert_eq!(told(&members, START_MS, "b"), [4, 5]);
-    let crowded = told(&members, START_MS, "c");
+    assert_eq!(addresses(&members, START_MS, "a"), [1, 2, 3]);
+    assert_eq!(addresses(&members, START_MS, "b"), [4, 5]);
+    let crowded = addresses(&members, START_MS, "c");
     assert_eq!(crowded[0], 6);
-    assert_eq!(crowded.len(), 2, "the only one there gets help");
-    assert!(crowded[1] <= 3, "from where most are: {crowded:?}");
+    assert_eq!(crowded.len(), 2, "callers also get a remote host");
+    assert!(crowded[1] <= 3, "from the largest data centre: {crowded:?}");
 }
 
 #[test]
-fn silent_leaving_and_unready_ones_are_left_out() {
+fn silent_leaving_and_unready_hosts_are_excluded() {
     let mut members = members();
     let later_ms = START_MS + SILENT_MS + 1;
     let leaving = Heartbeat { is_leaving: true, ..ready() };
     members.on_heartbeat(later_ms, entry("a", 2), leaving);
     members.on_heartbeat(later_ms, entry("a", 3), Heartbeat::default());
     members.on_heartbeat(later_ms, entry("b", 4), ready());
-    assert_eq!(told(&members, later_ms, "b"), [4]);
-    assert_eq!(told(&members, later_ms, "a"), [1]);
+    assert_eq!(addresses(&members, later_ms, "b"), [4]);
+    assert_eq!(addresses(&members, later_ms, "a"), [1]);
 }
 
 #[test]
-fn without_any_other_callers_are_sent_here() {
+fn a_lone_host_is_given_to_all_callers() {
     let members = Members::new(entry("a", 1));
-    assert_eq!(told(&members, START_MS, "elsewhere"), [1]);
+    assert_eq!(addresses(&members, START_MS, "elsewhere"), [1]);
 }
 
 #[test]
-fn one_that_stays_ahead_is_asked() {
+fn a_host_that_stays_ahead_is_asked() {
     let mut members = members();
     let ahead = Heartbeat { extents: vec![known(0, 9)], ..ready() };
     members.on_heartbeat(START_MS, entry("b", 4), ahead);
@@ -84,7 +84,7 @@
     assert_eq!(
         members.find_ahead(START_MS, kind, known(0, 8), 0),
         None,
-        "the watch may bring it"
+        "the own watch may deliver it"
     );
     let asked = members.find_ahead(START_MS, kind, known(0, 0), 0);
     assert_eq!(asked, Some(entry("b", 4).ip), "nothing is known yet");
@@ -93,9 +93,9 @@
     assert_eq!(members.find_ahead(START_MS + 301, kind, known(0, 9), 0), None);
 }
 
-/// Revisions go back when the store is restored.
+/// Revisions decrease when the store is restored.
 #[test]
-fn one_that_has_heard_of_a_restore_is_ahead() {
+fn a_host_that_knows_of_a_restore_is_ahead() {
     let mut members = members();
     let ahead = Heartbeat { extents: vec![known(1, 4)], ..ready() };
     members.on_heartbeat(START_MS, entry("b", 4), ahead);
@@ -112,9 +112,9 @@
     assert_eq!(asked(&mut members, Stamp::new(1, 4)), None);
 }
 
-/// It may know what the restore has taken back.
+/// It may know changes that the restore has reverted.
 #[test]
-fn one_that_knew_the_store_before_its_restore_is_asked() {
+fn a_host_that_knew_the_store_before_its_restore_is_asked() {
     let mut members = members();
     let knew = Extent { oldest_era: 0, ..known(1, 4) };
     let heartbeat = Heartbeat { extents: vec![knew], ..ready() };
@@ -128,34 +128,34 @@
 }
 
 #[test]
-fn one_that_falls_silent_is_told_once() {
+fn a_silent_host_is_reported_once() {
     let mut members = members();
-    assert_eq!(members.take_changes(START_MS).len(), 5, "all came up");
+    assert_eq!(members.take_changes(START_MS).len(), 5, "all are up");
     let later_ms = START_MS + SILENT_MS + 1;
     members.on_heartbeat(later_ms, entry("a", 2), ready());
     assert_eq!(
         members.take_changes(later_ms).len(),
         4,
-        "all others fell silent"
+        "all others are silent"
     );
     assert_eq!(members.take_changes(later_ms), vec![]);
 }
 
 #[test]
-fn a_data_centre_without_entry_hosts_is_looked_after_from_elsewhere() {
+fn a_data_centre_without_live_hosts_is_served_from_others() {
     let members = members();
     let later_ms = START_MS + SILENT_MS + 1;
-    assert!(members.is_nearest(START_MS, "a"), "the own one");
-    assert!(!members.is_nearest(START_MS, "c"), "one is alive there");
-    assert!(members.is_nearest(later_ms, "c"), "none is alive any more");
-    assert!(members.is_nearest(START_MS, "d"), "there never was one");
+    assert!(members.is_nearest(START_MS, "a"), "its own data centre");
+    assert!(!members.is_nearest(START_MS, "c"), "a live host is there");
+    assert!(members.is_nearest(later_ms, "c"), "no live host is left");
+    assert!(members.is_nearest(START_MS, "d"), "it has no hosts");
 }
 
 fn seeing() -> Heartbeat {
     Heartbeat { sees_store: true, ..ready() }
 }
 
-/// The last of four entry hosts in one data centre.
+/// Returns the state of the last of four entry hosts in one data centre.
 fn last_of_four(beats: [(u8, Heartbeat); 3]) -> Members {
     let mut members = Members::new(entry("a", 9));
     for (last, beat) in beats {
@@ -168,10 +168,10 @@
 #[test]
 fn two_of_a_data_centre_watch_the_store() {
     let members = last_of_four([(1, seeing()), (2, seeing()), (3, seeing())]);
-    assert!(!members.is_watcher(START_MS), "two before it do");
-    assert!(members.is_watcher(START_MS + 950), "they are silent");
+    assert!(!members.is_watcher(START_MS), "two others watch");
+    assert!(members.is_watcher(START_MS + 950), "the others are silent");
     let members = last_of_four([(1, seeing()), (2, ready()), (3, ready())]);
-    assert!(members.is_watcher(START_MS), "two were turned away");
+    assert!(members.is_watcher(START_MS), "two cannot see the store");
     let leaving = Heartbeat { is_leaving: true, ..seeing() };
     let members = last_of_four([(1, seeing()), (2, leaving), (3, ready())]);
     assert!(members.is_watcher(START_MS), "one is leaving");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn one_that_does_not_watch_asks_next_door_at_once() {
+fn a_non_watcher_asks_its_neighbours_immediately() {
     let ahead = || Heartbeat { extents: vec![known(0, 9)], ..seeing() };
     let mut members =
         last_of_four([(1, seeing()), (2, ahead()), (3, ahead())]);
@@ -189,11 +189,15 @@
         .map(|draw| members.find_ahead(START_MS, kind, known(0, 8), draw))
         .collect();
     let near = [2, 3].map(|last| Some(entry("a", last).ip));
-    assert_eq!(asked, [near, near].concat(), "shared among those here");
+    assert_eq!(
+        asked,
+        [near, near].concat(),
+        "requests rotate among local hosts"
+    );
 }
 
 #[test]
-fn one_that_comes_up_is_answered_at_once() {
+fn a_new_host_is_recognised() {
     let mut members = Members::new(entry("a", 1));
     let mut heard =
         |at_ms| members.on_heartbeat(at_ms, entry("a", 2), seeing());
@@ -202,16 +206,21 @@
     assert!(heard(START_MS + 400 + SILENT_MS), "it may have restarted");
 }
 
-/// Its entry is in the copy from which the store was restored.
+/// The entry of an ended entry host is in the copy from which the store was
+/// restored.
 #[test]
-fn one_that_has_ended_is_not_back_by_a_restore() {
+fn an_ended_host_is_not_revived_by_a_restore() {
     let mut members = Members::new(entry("a", 1));
     members.set_listed(START_MS, vec![entry("a", 1), entry("b", 4)]);
-    assert_eq!(told(&members, START_MS, "b"), [4], "it is greeted");
+    assert_eq!(
+        addresses(&members, START_MS, "b"),
+        [4],
+        "listed and not heard yet"
+    );
     let later_ms = START_MS + SILENT_MS + 1;
     members.set_listed(later_ms, vec![entry("a", 1)]);
     members.set_listed(later_ms, vec![entry("a", 1), entry("b", 4)]);
-    assert_eq!(told(&members, later_ms, "b"), [1]);
+    assert_eq!(addresses(&members, later_ms, "b"), [1]);
     members.on_heartbeat(later_ms, entry("b", 4), ready());
-    assert_eq!(told(&members, later_ms, "b"), [4], "it has started again");
+    assert_eq!(addresses(&members, later_ms, "b"), [4], "heard again");
 }
--- a/crates/raildale-core/tests/order_doubts.rs
+++ b/crates/raildale-core/tests/order_doubts.rs
@@ -1,6 +1,6 @@
-//! Ways in which an order in doubt could be forgotten, or an agent be stuck:
-//! health checks and reports that fail, stagings that take long, outcomes that
-//! come when another order is out.
+//! Faults in which an unanswered order could be forgotten or an agent could
+//! get stuck: failed health checks and reports, slow stagings, and outcomes
+//! that arrive when another order is pending.
 
 mod swarm_world;
 
@@ -16,87 +16,87 @@
 const MACHINES: usize = 6;
 const SEEDS: std::ops::Range<u64> = 0..60;
 
-fn late() -> Faults {
-    Faults { late_orders_per_mille: 500, ..Faults::default() }
+fn unanswered_orders() -> Faults {
+    Faults { unanswered_orders_per_mille: 500, ..Faults::default() }
 }
 
-// A health check waits for a slot or is rejected as a request would be; a
-// rejection carries no id. That must not be taken for another start.
+// A health check waits for a slot or is rejected like a request; a rejection
+// carries no id. It must not be treated as another start.
 #[parameterized(
-    deaf = { Faults { deaf_per_mille: 20, ..late() } },
+    deaf = { Faults { lost_reports_per_mille: 20, ..unanswered_orders() } },
     checks_rejected = { Faults {
-        deaf_per_mille: 20,
+        lost_reports_per_mille: 20,
         rejected_checks_per_mille: 300,
-        ..late()
+        ..unanswered_orders()
     } },
     checks_rejected_and_restarts = { Faults {
-        deaf_per_mille: 20,
+        lost_reports_per_mille: 20,
         rejected_checks_per_mille: 300,
         target_restarts_per_mille: 20,
-        ..late()
+        ..unanswered_orders()
     } },
     checks_lost = { Faults {
-        deaf_per_mille: 20,
+        lost_reports_per_mille: 20,
         lost_checks_per_mille: 800,
-        ..late()
+        ..unanswered_orders()
     } },
     checks_lost_and_rot = { Faults {
-        deaf_per_mille: 20,
+        lost_reports_per_mille: 20,
         lost_checks_per_mille: 900,
-        rot_per_mille: 10,
-        ..late()
+        staged_corruptions_per_mille: 10,
+        ..unanswered_orders()
     } },
-    stagings_slow = { Faults { slow_stagings_per_mille: 300, ..late() } },
+    stagings_slow = { Faults { slow_stagings_per_mille: 300, ..unanswered_orders() } },
     stagings_slow_and_restarts = { Faults {
         slow_stagings_per_mille: 300,
         target_restarts_per_mille: 20,
-        ..late()
+        ..unanswered_orders()
     } },
 )]
 fn no_late_order_loads_the_wrong_chunks(faults: Faults) {
-    let mut torn = Vec::new();
+    let mut invalid = Vec::new();
     let mut stuck = Vec::new();
     for seed in SEEDS {
         let mut world = World::new(seed, MACHINES, 1, faults);
         world.run_for(500);
         for version in 2..6 {
-            world.name(version);
+            world.name_version(version);
             world.run_for(4_400);
         }
         world.faults = Faults::default();
         world.run_for(13_000);
-        if world.torn_orders() > 0 {
-            torn.push(seed);
+        if world.invalid_loads() > 0 {
+            invalid.push(seed);
         }
-        if world.serve(5) < MACHINES {
+        if world.serving_count(5) < MACHINES {
             stuck.push(seed);
         }
     }
     assert!(
-        torn.is_empty() && stuck.is_empty(),
-        "torn orders in seeds {torn:?}, stuck in {stuck:?}"
+        invalid.is_empty() && stuck.is_empty(),
+        "invalid loads in seeds {invalid:?}, stuck in {stuck:?}"
     );
 }
 
-/// One agent, by hand.
-struct Alone {
+/// A single agent with its target's state, driven event by event.
+struct Harness {
     swarm: Swarm,
     now_ms: u64,
     state: TargetState,
-    /// What each order relied on, oldest first.
+    /// The guard of each order, oldest first.
     guards: Vec<OrderGuard>,
 }
 
-impl Alone {
-    /// Beside a target that serves version 1.
-    fn new() -> Alone {
+impl Harness {
+    /// Creates an agent whose target serves version 1.
+    fn new() -> Harness {
         let state = TargetState {
             is_up: true,
             serves_version: 1,
             pace: 1.0,
             ..TargetState::default()
         };
-        let mut alone = Alone {
+        let mut harness = Harness {
             swarm: agent(0),
             now_ms: 1_000_000,
             state,
@@ -109,13 +109,13 @@
             serves_version: 1,
             is_slow: false,
         };
-        alone.take(Event::Peers(vec![peer]));
-        alone.take(layout());
-        alone.take(Event::Target(state));
-        alone
+        harness.reduce(Event::Peers(vec![peer]));
+        harness.reduce(layout());
+        harness.reduce(Event::Target(state));
+        harness
     }
 
-    fn take(&mut self, event: Event) -> Vec<Effect> {
+    fn reduce(&mut self, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.swarm.reduce(self.now_ms, event, &mut effects);
         for effect in &effects {
@@ -126,33 +126,34 @@
         effects
     }
 
-    /// What came of the order in a place, the oldest first.
+    /// Reports the outcome of the order at an index, the oldest being 0.
     fn answer(&mut self, place: usize, outcome: OrderOutcome) {
         let guard = self.guards[place].clone();
-        self.take(Event::Ordered { guard, outcome });
+        self.reduce(Event::Ordered { guard, outcome });
     }
 
-    /// What came of the last order.
+    /// Reports the outcome of the last order.
     fn answer_last(&mut self, outcome: OrderOutcome) {
         self.answer(self.guards.len() - 1, outcome);
     }
 
-    fn ready(&mut self) {
-        self.take(Event::TargetStart(TargetStart::Named("a".into())));
-        self.take(Event::StagingRead { chunks: Some(Vec::new()) });
+    fn report_initial_state(&mut self) {
+        self.reduce(Event::TargetStart(TargetStart::Named("a".into())));
+        self.reduce(Event::StagingRead { chunks: Some(Vec::new()) });
     }
 
-    /// Named long enough ago that every turn has come; held whole.
-    fn give(&mut self, version: u64) -> Vec<Effect> {
+    /// Names a version early enough that every turn has come, and supplies its
+    /// manifest and all of its chunks.
+    fn supply_version(&mut self, version: u64) -> Vec<Effect> {
         let named_ms = self.now_ms - 7_000;
-        let mut all = self.take(Event::Named { version, named_ms });
+        let mut all = self.reduce(Event::Named { version, named_ms });
         let source = Source::Origin;
         let result = Ok(digests(version));
-        all.extend(self.take(Event::Manifest { version, source, result }));
+        all.extend(self.reduce(Event::Manifest { version, source, result }));
         for index in 0..CHUNKS {
             let result = Ok(chunk(version, index));
             let took_ms = 1;
-            all.extend(self.take(Event::Chunk {
+            all.extend(self.reduce(Event::Chunk {
                 version,
                 index,
                 source,
@@ -163,40 +164,41 @@
         all
     }
 
-    /// Lets time pass, tick by tick.
-    fn pass(&mut self, ms: u64) -> Vec<Effect> {
+    /// Advances the time tick by tick.
+    fn advance(&mut self, ms: u64) -> Vec<Effect> {
         let end_ms = self.now_ms + ms;
         let mut all = Vec::new();
         while self.now_ms < end_ms {
             self.now_ms += 50;
-            all.extend(self.take(Event::Target(self.state)));
-            all.extend(self.take(Event::Tick));
+            all.extend(self.reduce(Event::Target(self.state)));
+            all.extend(self.reduce(Event::Tick));
         }
         all
     }
 
-    /// An order for version 2 that gets no answer.
-    fn order_in_doubt(&mut self) {
-        self.ready();
-        self.give(2);
-        let effects = self.take(Event::Staged { version: 2, is_done: true });
-        assert_eq!(orders(&effects), [2], "an order for 2 went out");
-        self.pass(400);
+    /// Sends an order for version 2 that remains unanswered.
+    fn leave_order_unanswered(&mut self) {
+        self.report_initial_state();
+        self.supply_version(2);
+        let effects = self.reduce(Event::Staged { version: 2, is_done: true });
+        assert_eq!(orders(&effects), [2], "an order for version 2 is sent");
+        self.advance(400);
         self.answer_last(OrderOutcome::Unanswered);
     }
 
-    /// Lets time pass until 2 is staged anew; orders get no answer.
-    fn until_staged_anew(&mut self) {
+    /// Advances the time until version 2 is staged again; orders remain
+    /// unanswered.
+    fn advance_until_restaged(&mut self) {
         for _ in 0..20 {
-            let passed = self.pass(400);
-            if stagings(&passed).contains(&2) {
+            let new_effects = self.advance(400);
+            if stagings(&new_effects).contains(&2) {
                 return;
             }
-            if !orders(&passed).is_empty() {
+            if !orders(&new_effects).is_empty() {
                 self.answer_last(OrderOutcome::Unanswered);
             }
         }
-        panic!("2 is staged anew while its order is in doubt");
+        panic!("version 2 must be staged again while its order is unanswered");
     }
 }
 
@@ -216,169 +218,177 @@
     effects.iter().filter_map(version).collect()
 }
 
-/// The target is too busy for one look, and for one health check; it never
-/// started anew. The order for 2 may still be carried out.
+/// The target is too busy for one report and one health check, but has not
+/// restarted. The order for version 2 may still be carried out.
 #[test]
-fn a_rejected_health_check_frees_no_order() {
-    let mut alone = Alone::new();
-    alone.order_in_doubt();
-    let mut effects = alone.give(3);
-    alone.take(Event::Target(TargetState::default()));
-    let state = alone.state;
-    alone.take(Event::Target(state));
-    effects.extend(alone.take(Event::TargetStart(TargetStart::Untold)));
-    effects.extend(alone.pass(1_000));
-    assert!(!stagings(&effects).contains(&3), "3 is staged under 2's order");
+fn a_rejected_health_check_keeps_the_order_open() {
+    let mut harness = Harness::new();
+    harness.leave_order_unanswered();
+    let mut effects = harness.supply_version(3);
+    harness.reduce(Event::Target(TargetState::default()));
+    let state = harness.state;
+    harness.reduce(Event::Target(state));
+    effects.extend(harness.reduce(Event::TargetStart(TargetStart::Untold)));
+    effects.extend(harness.advance(1_000));
+    assert!(
+        !stagings(&effects).contains(&3),
+        "version 3 is staged while the order for 2 is unanswered"
+    );
 }
 
-/// An order names the start that it is for, once that was ever told.
+/// Once a start id has been reported, every order names the start for which it
+/// is intended.
 #[test]
-fn a_rejected_health_check_does_not_unname_the_start() {
-    let mut alone = Alone::new();
-    alone.ready();
-    alone.take(Event::Target(TargetState::default()));
-    let state = alone.state;
-    alone.take(Event::Target(state));
-    alone.take(Event::TargetStart(TargetStart::Untold));
-    alone.give(2);
-    let mut effects = alone.take(Event::Staged { version: 2, is_done: true });
-    effects.extend(alone.pass(1_000));
+fn a_rejected_health_check_keeps_the_start_id() {
+    let mut harness = Harness::new();
+    harness.report_initial_state();
+    harness.reduce(Event::Target(TargetState::default()));
+    let state = harness.state;
+    harness.reduce(Event::Target(state));
+    harness.reduce(Event::TargetStart(TargetStart::Untold));
+    harness.supply_version(2);
+    let mut effects =
+        harness.reduce(Event::Staged { version: 2, is_done: true });
+    effects.extend(harness.advance(1_000));
     for effect in effects {
         if let Effect::Order { guard, .. } = effect {
             assert!(
                 guard.start.is_some(),
-                "an order for any start: {guard:?}"
+                "order without a start id: {guard:?}"
             );
         }
     }
 }
 
-/// What may turn bad is staged anew while an order is in doubt, also while
-/// the target is too busy to say which start is up.
+/// Staged chunks, which may become corrupt, are staged again while an order is
+/// unanswered, even while the target is too busy to report its start.
 #[test]
-fn chunks_stay_fresh_while_the_start_is_in_doubt() {
-    let mut alone = Alone::new();
-    alone.order_in_doubt();
-    alone.until_staged_anew();
-    // One put in vain and one report that is late.
-    alone.take(Event::Staged { version: 2, is_done: false });
-    alone.take(Event::Target(TargetState::default()));
+fn chunks_are_restaged_while_the_start_is_unknown() {
+    let mut harness = Harness::new();
+    harness.leave_order_unanswered();
+    harness.advance_until_restaged();
+    // One failed staging and one late report.
+    harness.reduce(Event::Staged { version: 2, is_done: false });
+    harness.reduce(Event::Target(TargetState::default()));
     let mut effects = Vec::new();
     for _ in 0..20 {
-        let passed = alone.pass(400);
-        if passed.contains(&Effect::QueryStart) {
-            alone.take(Event::TargetStart(TargetStart::Lost));
+        let new_effects = harness.advance(400);
+        if new_effects.contains(&Effect::QueryStart) {
+            harness.reduce(Event::TargetStart(TargetStart::Lost));
         }
-        if !stagings(&passed).is_empty() {
-            alone.take(Event::Staged { version: 2, is_done: true });
+        if !stagings(&new_effects).is_empty() {
+            harness.reduce(Event::Staged { version: 2, is_done: true });
         }
-        effects.extend(passed);
+        effects.extend(new_effects);
     }
     let staged = stagings(&effects).len();
-    assert!(staged >= 3, "staged anew {staged} times in 8 s");
+    assert!(staged >= 3, "staged {staged} times in 8 s");
 }
 
-/// A staging of which one chunk cannot be read holds nobody back for good.
+/// A staging area with an unreadable chunk must not defer orders forever.
 #[test]
-fn staging_that_cannot_be_read_holds_back_for_a_while_only() {
-    let mut alone = Alone::new();
-    alone.take(Event::TargetStart(TargetStart::Named("a".into())));
-    alone.give(2);
+fn an_unreadable_staging_area_defers_orders_temporarily() {
+    let mut harness = Harness::new();
+    harness.reduce(Event::TargetStart(TargetStart::Named("a".into())));
+    harness.supply_version(2);
     let mut effects = Vec::new();
     for _ in 0..120 {
-        let passed = alone.pass(500);
-        if passed.contains(&Effect::ReadStaging) {
-            alone.take(Event::StagingRead { chunks: None });
+        let new_effects = harness.advance(500);
+        if new_effects.contains(&Effect::ReadStaging) {
+            harness.reduce(Event::StagingRead { chunks: None });
         }
-        effects.extend(passed);
+        effects.extend(new_effects);
     }
     assert!(stagings(&effects).contains(&2), "nothing staged in 60 s");
 }
 
-/// Puts of one version still run while those of another begin: the order for
-/// the second finds a mixture.
+/// If chunks of one version are still being staged when staging of another
+/// begins, the order for the second one loads a mixture.
 #[test]
-fn two_versions_are_never_staged_at_once() {
-    let mut alone = Alone::new();
-    alone.order_in_doubt();
-    // Chunks older than 2 s are staged anew: this staging is slow.
-    alone.until_staged_anew();
-    // The late order is carried out meanwhile, and version 2 served.
-    alone.state.orders += 1;
-    alone.state.serves_version = 0;
-    alone.pass(100);
-    alone.state.serves_version = 2;
-    alone.pass(100);
-    let effects = alone.give(3);
+fn two_versions_are_never_staged_concurrently() {
+    let mut harness = Harness::new();
+    harness.leave_order_unanswered();
+    // Chunks staged more than 2 s ago are staged again: this staging is slow.
+    harness.advance_until_restaged();
+    // Meanwhile the late order is carried out, and version 2 is served.
+    harness.state.orders += 1;
+    harness.state.serves_version = 0;
+    harness.advance(100);
+    harness.state.serves_version = 2;
+    harness.advance(100);
+    let effects = harness.supply_version(3);
     let is_staged = stagings(&effects).contains(&3);
-    assert!(!is_staged, "3 is being staged while puts of 2 are under way");
+    assert!(!is_staged, "version 3 is staged while staging of 2 is active");
 }
 
-/// The first order is carried out just before its repetition arrives, which
-/// is refused: the target loads, and takes nothing new.
+/// The first order is carried out just before its repetition arrives, which is
+/// refused. The target is loading and accepts no new requests.
 #[test]
-fn a_target_that_loads_is_not_said_to_accept() {
-    let mut alone = Alone::new();
-    alone.order_in_doubt();
-    let passed = alone.pass(100);
-    assert_eq!(orders(&passed), [2], "repeated");
-    alone.state.orders += 1;
-    alone.state.serves_version = 0;
-    alone.pass(50);
-    alone.answer_last(OrderOutcome::Refused);
-    assert!(!alone.swarm.report().is_accepting, "it loads version 2");
+fn a_loading_target_is_reported_as_not_accepting() {
+    let mut harness = Harness::new();
+    harness.leave_order_unanswered();
+    let new_effects = harness.advance(100);
+    assert_eq!(orders(&new_effects), [2], "repeated");
+    harness.state.orders += 1;
+    harness.state.serves_version = 0;
+    harness.advance(50);
+    harness.answer_last(OrderOutcome::Refused);
+    assert!(!harness.swarm.report().is_accepting, "loading version 2");
 }
 
-/// What lies staged is known and complete; only the start is in doubt for 5 s
-/// (the target is full, so that its health check waits for a slot). An order
-/// of the agent before may be carried out up to 12 s late.
+/// The staged chunks are identified and complete; only the start is unknown
+/// for 5 s, as the target is full and its health check waits for a slot. An
+/// order of the previous agent may be carried out up to 12 s late.
 #[test]
-fn what_lies_staged_is_ordered_first_however_long_the_start_is_in_doubt() {
-    let mut alone = Alone::new();
-    alone.take(Event::TargetStart(TargetStart::Lost));
+fn staged_chunks_are_ordered_first_while_the_start_is_unknown() {
+    let mut harness = Harness::new();
+    harness.reduce(Event::TargetStart(TargetStart::Lost));
     let all = (0..CHUNKS).map(|index| (index, chunk(2, index))).collect();
-    alone.take(Event::StagingRead { chunks: Some(all) });
-    alone.give(2);
-    let mut effects = alone.give(3);
+    harness.reduce(Event::StagingRead { chunks: Some(all) });
+    harness.supply_version(2);
+    let mut effects = harness.supply_version(3);
     for _ in 0..13 {
-        let passed = alone.pass(400);
-        if passed.contains(&Effect::QueryStart) {
-            alone.take(Event::TargetStart(TargetStart::Lost));
+        let new_effects = harness.advance(400);
+        if new_effects.contains(&Effect::QueryStart) {
+            harness.reduce(Event::TargetStart(TargetStart::Lost));
         }
-        effects.extend(passed);
+        effects.extend(new_effects);
     }
     effects.extend(
-        alone.take(Event::TargetStart(TargetStart::Named("a".into()))),
+        harness.reduce(Event::TargetStart(TargetStart::Named("a".into()))),
     );
-    effects.extend(alone.pass(1_000));
+    effects.extend(harness.advance(1_000));
     let first = stagings(&effects).first().copied();
     assert_eq!(first, Some(2), "an earlier agent may have ordered 2");
 }
 
-/// The outcome of an order for an earlier start comes while one for the
-/// present start is out: it says nothing of the second one.
+/// The outcome of an order for an earlier start arrives while one for the
+/// current start is pending. It must not be applied to the second one.
 #[test]
 fn an_outcome_belongs_to_its_own_order() {
-    let mut alone = Alone::new();
-    alone.ready();
-    alone.give(2);
-    let first = alone.take(Event::Staged { version: 2, is_done: true });
+    let mut harness = Harness::new();
+    harness.report_initial_state();
+    harness.supply_version(2);
+    let first = harness.reduce(Event::Staged { version: 2, is_done: true });
     assert_eq!(orders(&first), [2]);
-    // The target starts anew; its agent learns of it by a late report.
-    alone.take(Event::Target(TargetState::default()));
-    let state = alone.state;
-    alone.take(Event::Target(state));
-    alone.take(Event::TargetStart(TargetStart::Named("b".into())));
-    alone.pass(50);
-    let second = alone.take(Event::Staged { version: 2, is_done: true });
-    assert_eq!(orders(&second), [2], "ordered anew");
-    // 100 ms after the first one went out: its answer, then none to the
-    // second one, which may be carried out yet.
-    alone.answer(0, OrderOutcome::Refused);
-    let mut effects = alone.give(3);
-    alone.pass(350);
-    alone.answer(1, OrderOutcome::Unanswered);
-    effects.extend(alone.pass(2_000));
+    // The target restarts; its agent learns of it from a late report.
+    harness.reduce(Event::Target(TargetState::default()));
+    let state = harness.state;
+    harness.reduce(Event::Target(state));
+    harness.reduce(Event::TargetStart(TargetStart::Named("b".into())));
+    harness.advance(50);
+    let second = harness.reduce(Event::Staged { version: 2, is_done: true });
+    assert_eq!(orders(&second), [2], "ordered again");
+    // The first order is answered 100 ms after it was sent. The second one is
+    // not answered and may still be carried out.
+    harness.answer(0, OrderOutcome::Refused);
+    let mut effects = harness.supply_version(3);
+    harness.advance(350);
+    harness.answer(1, OrderOutcome::Unanswered);
+    effects.extend(harness.advance(2_000));
     let is_staged = stagings(&effects).contains(&3);
-    assert!(!is_staged, "3 is staged under 2's order in doubt");
+    assert!(
+        !is_staged,
+        "version 3 is staged while the order for 2 is unanswered"
+    );
 }
--- a/crates/raildale-core/tests/queue_delay.rs
+++ b/crates/raildale-core/tests/queue_delay.rs
@@ -1,4 +1,4 @@
-//! How an agent measures the queue before its link.
+//! Estimation of the queueing delay of an agent's inbound link.
 
 use std::net::IpAddr;
 
@@ -10,25 +10,25 @@
     IpAddr::from([10, 0, 0, last])
 }
 
-/// Slices of `agents` with clocks of their own, one each 20 ms, of which each
-/// takes `way_ms` at its time.
-fn sliced(
+/// Records slices of `agents` senders with different clocks, one every 20 ms
+/// in total, each with the transit time `transit_ms` at its sending time.
+fn record_slices(
     agents: u8,
-    lasting_ms: u64,
-    way_ms: impl Fn(u64) -> u64,
+    duration_ms: u64,
+    transit_ms: impl Fn(u64) -> u64,
 ) -> QueueDelay {
     let mut delay = QueueDelay::new();
-    let mut came: Vec<(u64, u8, u64)> = (0..lasting_ms / 20)
+    let mut arrivals: Vec<(u64, u8, u64)> = (0..duration_ms / 20)
         .map(|number| {
             let at_ms = number * 20;
             let last = (number % u64::from(agents)) as u8;
             let clock_ms = u64::from(last) * 1_234;
-            (START_MS + at_ms + way_ms(at_ms), last, at_ms + clock_ms)
+            (START_MS + at_ms + transit_ms(at_ms), last, at_ms + clock_ms)
         })
         .collect();
-    came.sort_unstable();
-    for (now_ms, last, sent_ms) in came {
-        if now_ms < START_MS + lasting_ms {
+    arrivals.sort_unstable();
+    for (now_ms, last, sent_ms) in arrivals {
+        if now_ms < START_MS + duration_ms {
             delay.record(now_ms, agent(last), sent_ms);
         }
     }
@@ -36,43 +36,49 @@
 }
 
 #[test]
-fn a_quick_way_has_no_queue_whatever_the_clocks_are() {
-    let delay = sliced(6, 2_000, |_| 3);
+fn clock_offsets_are_not_a_queue() {
+    let delay = record_slices(6, 2_000, |_| 3);
     assert_eq!(delay.estimate_ms(START_MS + 2_000), 0);
 }
 
-/// A queue that grows by two seconds a second, from a moment on.
+/// A queue that grows by two seconds per second after a certain time.
 #[test]
-fn a_queue_that_grows_is_seen_while_it_grows() {
-    let way_ms = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
-    let seen_ms = sliced(6, 1_600, way_ms).estimate_ms(START_MS + 1_600);
-    assert!((200..=400).contains(&seen_ms), "{seen_ms}");
-    let later_ms = sliced(6, 2_200, way_ms).estimate_ms(START_MS + 2_200);
+fn a_growing_queue_is_detected() {
+    let transit_ms = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
+    let growing_ms =
+        record_slices(6, 1_600, transit_ms).estimate_ms(START_MS + 1_600);
+    assert!((200..=400).contains(&growing_ms), "{growing_ms}");
+    let later_ms =
+        record_slices(6, 2_200, transit_ms).estimate_ms(START_MS + 2_200);
     assert!(later_ms >= 600, "{later_ms}");
 }
 
-/// A sender's own slow way says nothing of the others, or of the own link.
+/// Slow slices of one sender indicate nothing about the other senders or the
+/// own link.
 #[test]
-fn one_slow_sender_is_no_queue() {
+fn one_slow_sender_is_not_a_queue() {
     let growing = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
-    assert_eq!(sliced(1, 2_200, growing).estimate_ms(START_MS + 2_200), 0);
-    let mut delay = sliced(6, 2_000, |_| 3);
+    assert_eq!(
+        record_slices(1, 2_200, growing).estimate_ms(START_MS + 2_200),
+        0
+    );
+    let mut delay = record_slices(6, 2_000, |_| 3);
     let now_ms = START_MS + 2_000;
     delay.record(now_ms, agent(3), 1_200 + 3 * 1_234);
     assert_eq!(delay.estimate_ms(now_ms), 0);
 }
 
-/// Once nothing comes any more, nothing stands in the queue.
+/// The queue counts as empty once no slices arrive.
 #[test]
-fn a_queue_is_forgotten_after_its_last_slice() {
-    let way_ms = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
-    let delay = sliced(6, 2_200, way_ms);
+fn a_queue_estimate_expires_after_the_last_slice() {
+    let transit_ms = |at_ms: u64| 3 + at_ms.saturating_sub(1_000) * 2;
+    let delay = record_slices(6, 2_200, transit_ms);
     assert_eq!(delay.estimate_ms(START_MS + 3_200), 0);
 }
 
-/// An agent that starts anew begins its clock anew.
+/// A restarted agent restarts its clock.
 #[test]
-fn a_start_of_a_sender_is_no_queue() {
+fn a_restarted_sender_is_not_a_queue() {
     let mut delay = QueueDelay::new();
     for number in 0..10 {
         for last in 1..=2 {
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Who tells whom in a large fleet.
+//! Communication between entry hosts in a large fleet.
 
 use std::{
     collections::BTreeSet,
@@ -21,10 +21,10 @@
     Extent { changed: Stamp::new(0, revision), oldest_era: 0 }
 }
 
-/// Entry hosts of the largest fleet that is designed for.
+/// The number of entry hosts in the largest supported fleet.
 const LARGE: usize = 340;
 
-/// Its data centres.
+/// The number of its data centres.
 const CENTRES: usize = 8;
 
 fn ip(host: usize) -> IpAddr {
@@ -44,7 +44,8 @@
     Heartbeat { is_ready: true, ..Heartbeat::default() }
 }
 
-/// What the host at place `own` knows of a fleet of `count` that lives.
+/// Returns the state of the host at index `own` in a fleet of `count` live
+/// hosts.
 fn members(own: usize, count: usize) -> Members {
     let mut members = Members::new(entry(own));
     members.set_listed(START_MS, (0..count).map(entry).collect());
@@ -54,8 +55,8 @@
     members
 }
 
-/// Datagrams between entry hosts in the time of one heartbeat: heartbeats,
-/// digests, and digests passed on.
+/// Returns the number of datagrams between entry hosts per heartbeat interval:
+/// heartbeats, digests, and forwarded digests.
 fn datagrams_a_beat(count: usize) -> usize {
     let mut sum = 0;
     for own in 0..count {
@@ -64,8 +65,8 @@
         sum += neighbours;
         if let Some(place) = members.relay_index(START_MS, true) {
             let far = members.digest_recipients(START_MS, place, 0).len();
-            // One of the relays sends with each heartbeat, and each who gets
-            // one from another data centre passes it on.
+            // One of the relays sends with each heartbeat, and each recipient
+            // in another data centre forwards the digest.
             sum += (neighbours + far + far * neighbours) / RELAYS;
         }
     }
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn what_is_sent_grows_with_the_data_centre() {
+fn traffic_grows_with_the_data_centre() {
     let mesh = LARGE * (LARGE - 1);
     let sent = datagrams_a_beat(LARGE);
     assert!(sent < mesh / 6, "{sent} of {mesh} in a mesh");
@@ -107,7 +108,7 @@
 
 #[test]
 fn a_relay_that_is_silent_leaving_or_not_ready_is_replaced() {
-    // Places 8 and 16 stand after place 0 in its data centre.
+    // Hosts 8 and 16 follow host 0 in its data centre.
     let third = |change: fn(&mut Members)| {
         let mut members = members(16, LARGE);
         change(&mut members);
@@ -122,7 +123,7 @@
             members.on_heartbeat(START_MS + 1_000, entry(8), ready());
         }),
         None,
-        "both live"
+        "both are alive"
     );
     assert_eq!(
         third(|members| {
@@ -143,17 +144,17 @@
 }
 
 #[test]
-fn a_data_centre_that_nobody_hears_is_still_told() {
+fn an_unheard_data_centre_still_gets_digests() {
     let mut members = Members::new(entry(0));
     members.set_listed(START_MS, (0..LARGE).map(entry).collect());
     let to = members.digest_recipients(START_MS, 0, 7);
-    assert_eq!(to.len(), CENTRES - 1, "one that is listed in each");
+    assert_eq!(to.len(), CENTRES - 1, "one listed host in each");
     let other = members.digest_recipients(START_MS, 0, 8);
-    assert_ne!(to, other, "another one the next time");
+    assert_ne!(to, other, "another host for another draw");
 }
 
 #[test]
-fn a_digest_tells_who_lives_in_another_data_centre() {
+fn a_digest_reports_live_hosts_of_another_data_centre() {
     let mut members = Members::new(entry(0));
     members.set_listed(START_MS, (0..LARGE).map(entry).collect());
     let now_ms = START_MS + 10_000;
@@ -178,17 +179,17 @@
     assert_eq!(members.others().count(), LARGE - 1, "no list names it");
 }
 
-/// While only other data centres know a change, those next door to the
-/// watchers wait for these to ask: else a configuration crosses between
+/// While only other data centres know a change, the neighbours of the watchers
+/// wait for the watchers to ask. Otherwise a configuration crosses between
 /// regions once for each entry host.
 #[test]
-fn what_only_others_know_crosses_once_or_twice() {
+fn remote_changes_cross_once_or_twice() {
     let ahead = Heartbeat { extents: vec![known(9); 4], ..ready() };
     let asks_at = |own: usize| {
         let mut members = members(own, LARGE);
         let mut now_ms = START_MS;
         loop {
-            // The neighbours' heartbeats go on, and know no more.
+            // The heartbeats of the neighbours continue without new knowledge.
             for host in (0..LARGE).filter(|host| *host != own) {
                 let beat = match host % CENTRES == own % CENTRES {
                     true => Heartbeat { sees_store: true, ..ready() },
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn the_way_to_a_relay_is_measured_by_its_echo() {
+fn round_trips_are_measured_by_echoes() {
     let mut round_trips = RelayRoundTrips::default();
     let own = ip(0);
     let IpAddr::V4(own_address) = own else { panic!("an IPv4 address") };
@@ -230,13 +231,17 @@
     let back = round_trips.echoes(START_MS + 30);
     assert_eq!(back.len(), 1);
     assert_eq!((back[0].sent_ms, back[0].age_ms), (78, 30));
-    assert_eq!(round_trips.echoes(START_MS + 5_000), [], "it fell silent");
+    assert_eq!(
+        round_trips.echoes(START_MS + 5_000),
+        [],
+        "the relay is silent"
+    );
 }
 
-/// While the store is away from everybody, a few of each data centre go on
-/// trying it, not all.
+/// While the store is unreachable for all, only a few entry hosts of each data
+/// centre keep trying it.
 #[test]
-fn a_store_that_is_away_is_tried_by_few() {
+fn an_unreachable_store_is_tried_by_few() {
     let blind = Heartbeat { sees_store: false, ..ready() };
     let mut watchers = 0;
     for own in 0..LARGE {
--- a/crates/raildale-core/tests/restore_model.rs
+++ b/crates/raildale-core/tests/restore_model.rs
@@ -1,10 +1,10 @@
-//! What processes know of a store that is restored again and again, against
-//! a model of it.
+//! Model test of the processes' knowledge of a store that is restored
+//! repeatedly.
 //!
-//! The operator writes configurations, the store goes back to older copies,
-//! answers come late, and processes start anew and tell one another. None
-//! ever holds an older configuration after a newer one, and once the newest is
-//! written again each holds it.
+//! The operator writes configurations, the store is restored from older
+//! copies, answers arrive late, and processes restart and forward their
+//! knowledge to each other. No process may ever hold an older configuration
+//! after a newer one, and all must hold the newest once it is written again.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -15,31 +15,31 @@
 
 const PROCESSES: usize = 3;
 
-/// Something that happens.
+/// A step of the model.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The operator writes the next configuration.
     Write,
-    /// Something else is written.
+    /// Another object is written.
     WriteOther,
-    /// The store keeps a copy.
+    /// The store makes a copy.
     Copy,
-    /// The store comes back from its copy.
+    /// The store is restored from its copy.
     Restore,
     /// The operator writes its newest configuration again.
     WriteAgain,
-    /// A process lists.
+    /// A process lists the objects.
     List(usize),
-    /// A process is given changes since what it knows.
+    /// A process receives the changes since its last known revision.
     Watch(usize),
-    /// An answer to a list leaves and is held up.
-    Hold,
-    /// The answer that is held up reaches a process.
-    Late(usize),
-    /// A process is given what another knows.
-    Tell(usize, usize),
-    /// A process starts anew.
-    Start(usize),
+    /// An answer to a list request is sent and delayed.
+    HoldAnswer,
+    /// The delayed answer reaches a process.
+    DeliverHeld(usize),
+    /// A process receives the knowledge of another: (from, to).
+    Forward(usize, usize),
+    /// A process restarts.
+    Restart(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -52,17 +52,18 @@
         2 => Just(Step::WriteAgain),
         4 => process().prop_map(Step::List),
         6 => process().prop_map(Step::Watch),
-        1 => Just(Step::Hold),
-        2 => process().prop_map(Step::Late),
-        4 => (process(), process()).prop_map(|(from, to)| Step::Tell(from, to)),
-        1 => process().prop_map(Step::Start),
+        1 => Just(Step::HoldAnswer),
+        2 => process().prop_map(Step::DeliverHeld),
+        4 => (process(), process()).prop_map(|(from, to)| Step::Forward(from, to)),
+        1 => process().prop_map(Step::Restart),
     ];
     prop::collection::vec(step, 1..80)
 }
 
-/// What the store holds: the configuration's version and its revision.
+/// The state of the store: its revision, and the version of the configuration
+/// with the revision of its last change.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct StoreState {
     revision: u64,
     version: u64,
     changed: u64,
@@ -71,11 +72,11 @@
 #[derive(Debug, Default)]
 struct World {
     era: u64,
-    held: Held,
-    copy: Held,
-    /// The operator's newest version.
+    state: StoreState,
+    copy: StoreState,
+    /// The newest version written by the operator.
     newest: u64,
-    late: Option<Snapshot>,
+    delayed: Option<Snapshot>,
     known: [Mirror; PROCESSES],
 }
 
@@ -84,7 +85,7 @@
         let mut world = World::default();
         world.write(1);
         world.newest = 1;
-        world.copy = world.held;
+        world.copy = world.state;
         for process in 0..PROCESSES {
             world.list(process);
         }
@@ -92,21 +93,21 @@
     }
 
     fn write(&mut self, version: u64) {
-        self.held.revision += 1;
-        self.held.changed = self.held.revision;
-        self.held.version = version;
+        self.state.revision += 1;
+        self.state.changed = self.state.revision;
+        self.state.version = version;
     }
 
     fn object(&self) -> StoredObject {
         StoredObject {
             name: Name::from("main"),
-            stamp: Stamp::new(self.era, self.held.changed),
-            body: Bytes::from(self.held.version.to_string()),
+            stamp: Stamp::new(self.era, self.state.changed),
+            body: Bytes::from(self.state.version.to_string()),
         }
     }
 
     fn snapshot(&self) -> Snapshot {
-        let stamp = Stamp::new(self.era, self.held.revision);
+        let stamp = Stamp::new(self.era, self.state.revision);
         Snapshot { stamp, objects: vec![self.object()] }
     }
 
@@ -115,53 +116,54 @@
         self.known[process].replace(snapshot, progress);
     }
 
-    /// A watch from a revision that the store does not have gets 410, and one
-    /// of another era is not applied: the process lists.
+    /// A watch from a revision that the store does not have is answered with
+    /// status 410, and one of another era is not applied: the process lists
+    /// the objects instead.
     fn watch(&mut self, process: usize) {
         let known = self.known[process].stamp();
-        if known.era != self.era || known.revision > self.held.revision {
+        if known.era != self.era || known.revision > self.state.revision {
             self.list(process);
             return;
         }
-        let is_news = self.held.changed > known.revision;
-        let puts = is_news.then(|| Change::Put(self.object()));
-        let stamp = Stamp::new(self.era, self.held.revision);
+        let is_changed = self.state.changed > known.revision;
+        let puts = is_changed.then(|| Change::Put(self.object()));
+        let stamp = Stamp::new(self.era, self.state.revision);
         let changes = puts.into_iter().collect();
         self.known[process].apply(stamp, changes, progress);
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Write => {
                 self.newest += 1;
                 self.write(self.newest);
             }
-            Step::WriteOther => self.held.revision += 1,
-            Step::Copy => self.copy = self.held,
+            Step::WriteOther => self.state.revision += 1,
+            Step::Copy => self.copy = self.state,
             Step::Restore => {
                 self.era += 1;
-                self.held = self.copy;
+                self.state = self.copy;
             }
             Step::WriteAgain => self.write(self.newest),
             Step::List(process) => self.list(process),
             Step::Watch(process) => self.watch(process),
-            Step::Hold => self.late = Some(self.snapshot()),
-            Step::Late(process) => {
-                if let Some(late) = self.late.clone() {
-                    self.known[process].replace(late, progress);
+            Step::HoldAnswer => self.delayed = Some(self.snapshot()),
+            Step::DeliverHeld(process) => {
+                if let Some(delayed) = self.delayed.clone() {
+                    self.known[process].replace(delayed, progress);
                 }
             }
-            Step::Tell(from, to) => {
-                let told = self.known[from].snapshot();
+            Step::Forward(from, to) => {
+                let known_snapshot = self.known[from].snapshot();
                 if self.known[from].is_known() {
-                    self.known[to].replace(told, progress);
+                    self.known[to].replace(known_snapshot, progress);
                 }
             }
-            Step::Start(process) => self.known[process] = Mirror::new(),
+            Step::Restart(process) => self.known[process] = Mirror::new(),
         }
     }
 
-    /// The version that a process holds; 0 if it knows none.
+    /// Returns the version that a process holds; 0 if it knows none.
     fn version(&self, process: usize) -> u64 {
         let known = self.known[process].get("main");
         known.and_then(progress).map_or(0, |progress| progress.level)
@@ -186,16 +188,16 @@
         let mut world = World::new();
         for step in steps {
             let before = [0, 1, 2].map(|process| world.version(process));
-            world.take(step);
+            world.apply(step);
             for (process, before) in before.into_iter().enumerate() {
-                let is_new = matches!(step, Step::Start(p) if p == process);
+                let is_new = matches!(step, Step::Restart(p) if p == process);
                 let after = world.version(process);
                 prop_assert!(is_new || after >= before, "{step:?}: {world:?}");
             }
         }
-        world.take(Step::WriteAgain);
+        world.apply(Step::WriteAgain);
         for process in 0..PROCESSES {
-            world.take(Step::Watch(process));
+            world.apply(Step::Watch(process));
             prop_assert_eq!(world.version(process), world.newest);
         }
     }
--- a/crates/raildale-core/tests/swarm_world/mod.rs
+++ b/crates/raildale-core/tests/swarm_world/mod.rs
@@ -1,4 +1,5 @@
-//! Many agents with their targets, over links that lose, spoil and stall.
+//! A simulation of many agents with their targets, on links that lose, corrupt
+//! and delay transfers.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -22,95 +23,96 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use target::{Order, Target};
 
-/// Chunks of a version.
+/// The number of chunks of a version.
 pub const CHUNKS: u32 = 12;
 
-/// When a run begins.
+/// The start time of a run.
 pub const START_MS: u64 = 1_000_000;
 
 const TICK_MS: u64 = 50;
-const WAY_MS: u64 = 3;
+const LINK_DELAY_MS: u64 = 3;
 const CHUNK_MS: u64 = 42;
 const LOAD_MS: u64 = 300;
 
-/// How long a chunk takes to be staged.
+/// How long it takes to stage a chunk.
 const PUT_MS: u64 = 4;
 
 /// How long an agent waits for the answer to an order.
-const ORDER_PATIENCE_MS: u64 = 400;
+const ORDER_TIMEOUT_MS: u64 = 400;
 
-/// How late an order without an answer is carried out.
-const LATE_MS: std::ops::Range<u64> = 100..12_000;
+/// The delay after which an unanswered order is carried out.
+const LATE_ORDER_DELAY_MS: std::ops::Range<u64> = 100..12_000;
 
-/// What goes wrong in a run.
+/// The faults injected in a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Of a thousand transfers, those that are lost.
+    /// Lost transfers per thousand.
     pub lost_per_mille: u32,
-    /// Of a thousand chunks from the origin, those that are spoilt.
-    pub spoilt_per_mille: u32,
-    /// Agents that answer nothing.
-    pub dead: usize,
-    /// Whether the origin gives nothing.
-    pub is_origin_away: bool,
-    /// Of a thousand orders, those that get no answer.
-    pub late_orders_per_mille: u32,
-    /// Of a thousand ticks, those at which a target starts anew.
+    /// Corrupt chunks per thousand chunks from the origin.
+    pub corrupt_per_mille: u32,
+    /// The number of agents that never respond.
+    pub dead_agents: usize,
+    /// Whether the origin is unreachable.
+    pub is_origin_unreachable: bool,
+    /// Unanswered orders per thousand.
+    pub unanswered_orders_per_mille: u32,
+    /// Restarts of a target per thousand ticks.
     pub target_restarts_per_mille: u32,
-    /// Of a thousand ticks, those at which a target starts anew under its
-    /// name.
-    pub target_rebirths_per_mille: u32,
-    /// Of a thousand ticks, those at which an agent starts anew.
+    /// Restarts of a target with the same id per thousand ticks.
+    pub target_same_id_restarts_per_mille: u32,
+    /// Restarts of an agent per thousand ticks.
     pub agent_restarts_per_mille: u32,
-    /// Of a thousand ticks, those at which a staged chunk turns bad.
-    pub rot_per_mille: u32,
-    /// Of a thousand reports, those that do not come in time.
-    pub deaf_per_mille: u32,
-    /// Of a thousand health checks, those that a full target rejects at once,
-    /// as it does a request: without its id.
+    /// Corruptions of a staged chunk per thousand ticks.
+    pub staged_corruptions_per_mille: u32,
+    /// Lost reports per thousand.
+    pub lost_reports_per_mille: u32,
+    /// Health checks per thousand that a full target rejects immediately and
+    /// without its id, as it rejects a request.
     pub rejected_checks_per_mille: u32,
-    /// Of a thousand health checks, those that wait for a slot in vain.
+    /// Health checks per thousand that time out while waiting for a slot.
     pub lost_checks_per_mille: u32,
-    /// Of a thousand stagings, those that take a second more than usual.
+    /// Stagings per thousand that take a second longer than usual.
     pub slow_stagings_per_mille: u32,
 }
 
-/// Something that happens at a machine.
+/// A scheduled action at a machine.
 #[derive(Clone, Debug)]
-enum Happening {
-    /// An event reaches the agent that was started as the one numbered so.
+enum Action {
+    /// An event reaches the agent, if its start number is unchanged.
     ToAgent(u32, Event),
-    /// A chunk reaches the target's staging.
+    /// A chunk reaches the target's staging area, if the agent's start number
+    /// is unchanged.
     Put(u32, usize, Bytes),
-    /// An order is carried out, unanswered.
+    /// An unanswered order is carried out.
     LateOrder(Order),
-    /// The target ends a load that this start began.
+    /// The target finishes a load that the start with this number began.
     Loaded(u32),
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct Scheduled {
     at_ms: u64,
     number: u64,
     machine: usize,
 }
 
-/// Links that chunks share: every machine's own, both ways, and the origin's.
+/// The links shared by chunks: the two directions of each machine's link, and
+/// the origin's.
 #[derive(Clone, Debug)]
 pub struct SharedLinks {
-    /// Milliseconds that a chunk takes on a machine's link.
+    /// The time that a chunk occupies a machine's link, in milliseconds.
     pub chunk_ms: u64,
-    /// Milliseconds that a chunk takes on the origin's.
+    /// The time that a chunk occupies the origin's link, in milliseconds.
     pub origin_chunk_ms: u64,
-    /// When each machine's link has sent what waits for it.
+    /// When each machine's outbound link is free.
     up_free_ms: Vec<u64>,
-    /// When each machine's link has taken in what is on its way.
+    /// When each machine's inbound link is free.
     down_free_ms: Vec<u64>,
     origin_free_ms: u64,
 }
 
 impl SharedLinks {
-    /// Idle links of `count` machines.
+    /// Creates idle links for `count` machines.
     pub fn new(count: usize, chunk_ms: u64, origin_chunk_ms: u64) -> Self {
         SharedLinks {
             chunk_ms,
@@ -121,13 +123,14 @@
         }
     }
 
-    /// When a chunk that leaves now from a machine, or the origin, has come.
+    /// Returns when a chunk sent now by a machine, or by the origin if `from`
+    /// is `None`, has been received.
     fn arrival_ms(&mut self, now: u64, from: Option<usize>, to: usize) -> u64 {
-        let (free_ms, takes_ms) = match from {
+        let (free_ms, transfer_ms) = match from {
             Some(from) => (&mut self.up_free_ms[from], self.chunk_ms),
             None => (&mut self.origin_free_ms, self.origin_chunk_ms),
         };
-        *free_ms = now.max(*free_ms) + takes_ms;
+        *free_ms = now.max(*free_ms) + transfer_ms;
         let sent_ms = *free_ms;
         let down_ms = &mut self.down_free_ms[to];
         *down_ms = sent_ms.max(*down_ms + self.chunk_ms);
@@ -141,46 +144,48 @@
     pub swarm: Swarm,
     /// The target.
     pub target: Target,
-    /// Starts of the agent before this one.
+    /// The number of previous starts of the agent.
     agent_number: u32,
 }
 
-/// A fleet.
+/// A simulated fleet.
 pub struct World {
-    /// The time.
+    /// The current time.
     pub now_ms: u64,
     /// The machines.
     pub machines: Vec<Machine>,
-    /// Chunks that the origin sent.
+    /// The number of chunks that the origin sent.
     pub origin_chunks: u64,
-    /// Targets at most that took nothing new at once.
-    pub closed_most: usize,
-    /// What goes wrong from now on.
+    /// The maximum number of targets that accepted no new requests at the same
+    /// time.
+    pub max_closed: usize,
+    /// The faults injected from now on.
     pub faults: Faults,
-    /// The links that chunks share; without, each takes the same time.
+    /// The links shared by chunks. If `None`, every transfer takes the same
+    /// time.
     pub links: Option<SharedLinks>,
-    /// Chunks of a version.
+    /// The number of chunks of a version.
     chunk_count: u32,
-    /// Data centres, among which machines stand in turn.
+    /// The number of data centres, to which machines are assigned in rotation.
     centre_count: usize,
-    /// When each machine held a version whole first.
+    /// When each machine first held a whole version, by version and machine.
     pub whole_ms: HashMap<(u64, usize), u64>,
     rng: SmallRng,
-    queue: BinaryHeap<Reverse<Due>>,
-    happenings: HashMap<u64, Happening>,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    actions: HashMap<u64, Action>,
     next_number: u64,
-    /// Who asked under a ticket, for what.
-    asked: HashMap<u64, (usize, u64, Item)>,
-    /// Versions that were named, and when.
+    /// The requesting machine, version and item of each pending request.
+    pending_requests: HashMap<u64, (usize, u64, Item)>,
+    /// The named versions, with the times of naming.
     named: Vec<(u64, u64)>,
 }
 
-/// The bytes of a chunk.
+/// Returns the bytes of a chunk.
 pub fn chunk(version: u64, index: u32) -> Bytes {
     Bytes::from(format!("chunk {index} of version {version}"))
 }
 
-/// The digests of a version's chunks.
+/// Returns the digests of a version's chunks.
 pub fn digests(version: u64) -> Vec<WeightDigest> {
     digests_of(version, CHUNKS)
 }
@@ -189,13 +194,13 @@
     (0..count).map(|i| WeightDigest::of(&chunk(version, i))).collect()
 }
 
-/// The address of a machine.
+/// Returns the address of a machine.
 pub fn ip(machine: usize) -> IpAddr {
     let [.., high, low] = (machine as u32 + 1).to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(10, 0, high, low))
 }
 
-/// The data centre of a machine.
+/// Returns the data centre of a machine.
 pub fn centre(machine: usize) -> Name {
     centre_of(machine, 3)
 }
@@ -204,7 +209,7 @@
     Name::from(["a", "b", "c", "d", "e"][machine % centre_count])
 }
 
-/// An agent that knows nothing yet.
+/// Creates an agent without any information.
 pub fn agent(machine: usize) -> Swarm {
     agent_in(machine, centre(machine))
 }
@@ -218,7 +223,7 @@
     })
 }
 
-/// What an agent is told of the weights' layout.
+/// Returns the event that describes the layout of the weights.
 pub fn layout() -> Event {
     layout_of(CHUNKS)
 }
@@ -228,13 +233,14 @@
 }
 
 impl World {
-    /// `count` machines whose targets serve `serves`, 0 for nothing.
+    /// Creates `count` machines whose targets serve version `serves`, 0 for
+    /// none.
     pub fn new(seed: u64, count: usize, serves: u64, faults: Faults) -> World {
         World::of(seed, count, serves, faults, CHUNKS, 3)
     }
 
-    /// A large fleet in five data centres, whose versions have 48 chunks on
-    /// links that they share.
+    /// Creates a large fleet in five data centres with shared links, whose
+    /// versions have 48 chunks.
     pub fn large(seed: u64, count: usize, faults: Faults) -> World {
         const LINK_CHUNK_MS: u64 = 49;
         const ORIGIN_CHUNK_MS: u64 = 26;
@@ -261,7 +267,7 @@
             now_ms: START_MS,
             machines: (0..count).map(machine).collect(),
             origin_chunks: 0,
-            closed_most: 0,
+            max_closed: 0,
             faults,
             links: None,
             chunk_count,
@@ -269,31 +275,36 @@
             whole_ms: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
+            actions: HashMap::new(),
             next_number: 0,
-            asked: HashMap::new(),
+            pending_requests: HashMap::new(),
             named: Vec::new(),
         };
         for machine in 0..count {
-            world.brief(machine);
+            world.send_initial_events(machine);
         }
         world
     }
 
-    /// What an agent learns at its start, in its order.
-    fn brief(&mut self, machine: usize) {
+    /// Sends an agent the events that it receives at its start, in their
+    /// order.
+    fn send_initial_events(&mut self, machine: usize) {
         let mut peers = self.peers();
         for peer in &mut peers {
             peer.whole_version = 0;
         }
-        self.tell(0, machine, Event::Peers(peers));
+        self.schedule_event(0, machine, Event::Peers(peers));
         for (version, named_ms) in self.named.clone() {
-            self.tell(0, machine, Event::Named { version, named_ms });
+            self.schedule_event(
+                0,
+                machine,
+                Event::Named { version, named_ms },
+            );
         }
-        self.tell(0, machine, layout_of(self.chunk_count));
+        self.schedule_event(0, machine, layout_of(self.chunk_count));
     }
 
-    /// Loses a machine's agent and target; both start anew, empty.
+    /// Replaces a machine's agent and target by new ones without any state.
     pub fn replace(&mut self, machine: usize) {
         let empty = Target::with_chunks(0, self.chunk_count);
         self.machines[machine].target = empty;
@@ -304,40 +315,44 @@
         let centre = centre_of(machine, self.centre_count);
         self.machines[machine].swarm = agent_in(machine, centre);
         self.machines[machine].agent_number += 1;
-        self.brief(machine);
+        self.send_initial_events(machine);
     }
 
-    fn push(&mut self, in_ms: u64, machine: usize, happening: Happening) {
+    fn schedule(&mut self, in_ms: u64, machine: usize, action: Action) {
         let number = self.next_number;
         self.next_number += 1;
-        self.happenings.insert(number, happening);
+        self.actions.insert(number, action);
         let at_ms = self.now_ms + in_ms;
-        self.queue.push(Reverse(Due { at_ms, number, machine }));
+        self.queue.push(Reverse(Scheduled { at_ms, number, machine }));
     }
 
-    fn tell(&mut self, in_ms: u64, machine: usize, event: Event) {
+    fn schedule_event(&mut self, in_ms: u64, machine: usize, event: Event) {
         let agent = self.machines[machine].agent_number;
-        self.push(in_ms, machine, Happening::ToAgent(agent, event));
+        self.schedule(in_ms, machine, Action::ToAgent(agent, event));
     }
 
     fn is_dead(&self, machine: usize) -> bool {
-        machine >= self.machines.len() - self.faults.dead
+        machine >= self.machines.len() - self.faults.dead_agents
     }
 
-    fn strikes(&mut self, per_mille: u32) -> bool {
+    fn draw_fault(&mut self, per_mille: u32) -> bool {
         per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
     }
 
     /// Names a version.
-    pub fn name(&mut self, version: u64) {
+    pub fn name_version(&mut self, version: u64) {
         let named_ms = self.now_ms;
         self.named.push((version, named_ms));
         for machine in 0..self.machines.len() {
-            self.tell(20, machine, Event::Named { version, named_ms });
+            self.schedule_event(
+                20,
+                machine,
+                Event::Named { version, named_ms },
+            );
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by `ms` milliseconds.
     pub fn run_for(&mut self, ms: u64) {
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
@@ -347,8 +362,8 @@
             {
                 let Some(Reverse(due)) = self.queue.pop() else { break };
                 self.now_ms = self.now_ms.max(due.at_ms);
-                if let Some(happening) = self.happenings.remove(&due.number) {
-                    self.happen(due.machine, happening);
+                if let Some(action) = self.actions.remove(&due.number) {
+                    self.perform(due.machine, action);
                 }
             }
             self.now_ms = until_ms;
@@ -356,37 +371,38 @@
         }
     }
 
-    fn happen(&mut self, machine: usize, happening: Happening) {
-        let known = &mut self.machines[machine];
-        match happening {
-            Happening::ToAgent(agent, event)
-                if agent == known.agent_number =>
+    fn perform(&mut self, machine: usize, action: Action) {
+        let target_machine = &mut self.machines[machine];
+        match action {
+            Action::ToAgent(agent, event)
+                if agent == target_machine.agent_number =>
             {
                 self.reduce(machine, event);
             }
-            Happening::Put(agent, index, data)
-                if agent == known.agent_number =>
+            Action::Put(agent, index, data)
+                if agent == target_machine.agent_number =>
             {
-                known.target.put(index, data);
+                target_machine.target.put(index, data);
             }
-            Happening::ToAgent(..) | Happening::Put(..) => {}
-            Happening::LateOrder(order) => {
-                self.take_order(machine, &order);
+            Action::ToAgent(..) | Action::Put(..) => {}
+            Action::LateOrder(order) => {
+                self.deliver_order(machine, &order);
             }
-            Happening::Loaded(start) => known.target.finish(start),
+            Action::Loaded(start) => target_machine.target.finish(start),
         }
     }
 
     fn tick(&mut self) {
         for machine in 0..self.machines.len() {
-            self.strike(machine);
+            self.inject_faults(machine);
         }
         let peers = self.peers();
         for machine in 0..self.machines.len() {
-            let state = match self.strikes(self.faults.deaf_per_mille) {
-                true => TargetState::default(),
-                false => self.machines[machine].target.state,
-            };
+            let state =
+                match self.draw_fault(self.faults.lost_reports_per_mille) {
+                    true => TargetState::default(),
+                    false => self.machines[machine].target.state,
+                };
             self.reduce(machine, Event::Target(state));
             self.reduce(machine, Event::Tick);
             self.reduce(machine, Event::Peers(peers.clone()));
@@ -404,22 +420,22 @@
                     && machine.target.state.serves_version > 0
             })
             .count();
-        self.closed_most = self.closed_most.max(closed);
+        self.max_closed = self.max_closed.max(closed);
     }
 
-    fn strike(&mut self, machine: usize) {
-        if self.strikes(self.faults.target_restarts_per_mille) {
+    fn inject_faults(&mut self, machine: usize) {
+        if self.draw_fault(self.faults.target_restarts_per_mille) {
             self.machines[machine].target.restart();
         }
-        if self.strikes(self.faults.target_rebirths_per_mille) {
-            self.machines[machine].target.restart_under_its_name();
+        if self.draw_fault(self.faults.target_same_id_restarts_per_mille) {
+            self.machines[machine].target.restart_with_same_id();
         }
-        if self.strikes(self.faults.agent_restarts_per_mille) {
+        if self.draw_fault(self.faults.agent_restarts_per_mille) {
             self.restart_agent(machine);
         }
-        if self.strikes(self.faults.rot_per_mille) {
+        if self.draw_fault(self.faults.staged_corruptions_per_mille) {
             let index = self.rng.random_range(0..self.chunk_count as usize);
-            self.machines[machine].target.spoil(self.now_ms, index);
+            self.machines[machine].target.corrupt(self.now_ms, index);
         }
     }
 
@@ -437,7 +453,7 @@
             .collect()
     }
 
-    /// Gives an event to an agent, and carries out what comes of it.
+    /// Passes an event to an agent and carries out the resulting effects.
     pub fn reduce(&mut self, machine: usize, event: Event) {
         if self.is_dead(machine) {
             return;
@@ -446,11 +462,11 @@
         let now_ms = self.now_ms;
         self.machines[machine].swarm.reduce(now_ms, event, &mut effects);
         for effect in effects {
-            self.carry_out(machine, effect);
+            self.apply_effect(machine, effect);
         }
     }
 
-    fn carry_out(&mut self, machine: usize, effect: Effect) {
+    fn apply_effect(&mut self, machine: usize, effect: Effect) {
         match effect {
             Effect::Fetch { version, item, source, hops } => {
                 self.fetch(machine, version, item, source, hops);
@@ -460,18 +476,26 @@
             }
             Effect::ReadStaging => {
                 let chunks = Some(self.machines[machine].target.staged());
-                self.tell(30, machine, Event::StagingRead { chunks });
+                self.schedule_event(
+                    30,
+                    machine,
+                    Event::StagingRead { chunks },
+                );
             }
             Effect::QueryStart => {
                 let start = self.machines[machine].target.start();
-                if self.strikes(self.faults.rejected_checks_per_mille) {
+                if self.draw_fault(self.faults.rejected_checks_per_mille) {
                     let start = TargetStart::Lost;
-                    self.tell(2, machine, Event::TargetStart(start));
-                } else if self.strikes(self.faults.lost_checks_per_mille) {
+                    self.schedule_event(2, machine, Event::TargetStart(start));
+                } else if self.draw_fault(self.faults.lost_checks_per_mille) {
                     let start = TargetStart::Lost;
-                    self.tell(400, machine, Event::TargetStart(start));
+                    self.schedule_event(
+                        400,
+                        machine,
+                        Event::TargetStart(start),
+                    );
                 } else {
-                    self.tell(2, machine, Event::TargetStart(start));
+                    self.schedule_event(2, machine, Event::TargetStart(start));
                 }
             }
             Effect::Stage { version, chunks } => {
@@ -486,39 +510,48 @@
 
     fn stage(&mut self, machine: usize, version: u64, chunks: Vec<Bytes>) {
         let agent = self.machines[machine].agent_number;
-        let is_slow = self.strikes(self.faults.slow_stagings_per_mille);
+        let is_slow = self.draw_fault(self.faults.slow_stagings_per_mille);
         let put_ms = if is_slow { PUT_MS + 80 } else { PUT_MS };
         let mut in_ms = 0;
         for (index, data) in chunks.into_iter().enumerate() {
             in_ms += put_ms;
-            self.push(in_ms, machine, Happening::Put(agent, index, data));
+            self.schedule(in_ms, machine, Action::Put(agent, index, data));
         }
         let is_done = true;
-        self.tell(in_ms, machine, Event::Staged { version, is_done });
+        self.schedule_event(
+            in_ms,
+            machine,
+            Event::Staged { version, is_done },
+        );
     }
 
     fn order(&mut self, machine: usize, order: Order) {
-        if self.strikes(self.faults.late_orders_per_mille) {
-            let late_ms = self.rng.random_range(LATE_MS);
-            let late = Happening::LateOrder(order.clone());
-            self.push(late_ms, machine, late);
+        if self.draw_fault(self.faults.unanswered_orders_per_mille) {
+            let late_ms = self.rng.random_range(LATE_ORDER_DELAY_MS);
+            let late = Action::LateOrder(order.clone());
+            self.schedule(late_ms, machine, late);
             let outcome = OrderOutcome::Unanswered;
             let event = Event::Ordered { guard: order.guard, outcome };
-            return self.tell(ORDER_PATIENCE_MS, machine, event);
+            return self.schedule_event(ORDER_TIMEOUT_MS, machine, event);
         }
-        let outcome = self.take_order(machine, &order);
+        let outcome = self.deliver_order(machine, &order);
         let event = Event::Ordered { guard: order.guard, outcome };
-        self.tell(2, machine, event);
+        self.schedule_event(2, machine, event);
     }
 
-    /// The target takes an order, and loads if that begins something.
-    fn take_order(&mut self, machine: usize, order: &Order) -> OrderOutcome {
+    /// Delivers an order to the target and schedules the end of the load if
+    /// one begins.
+    fn deliver_order(
+        &mut self,
+        machine: usize,
+        order: &Order,
+    ) -> OrderOutcome {
         let target = &mut self.machines[machine].target;
         let before = target.state.orders;
         let outcome = target.carry_out(self.now_ms, order);
         if target.state.orders > before {
             let start = target.start_number();
-            self.push(LOAD_MS, machine, Happening::Loaded(start));
+            self.schedule(LOAD_MS, machine, Action::Loaded(start));
         }
         outcome
     }
@@ -531,34 +564,44 @@
         source: Source,
         hops: u32,
     ) {
-        if self.strikes(self.faults.lost_per_mille) {
-            let event = came(version, item, source, Err(FetchError::Lost));
-            return self.tell(600, machine, event);
+        if self.draw_fault(self.faults.lost_per_mille) {
+            let event =
+                transfer_event(version, item, source, Err(FetchError::Lost));
+            return self.schedule_event(600, machine, event);
         }
         match source {
-            Source::Origin if self.faults.is_origin_away => {
-                let event = came(version, item, source, Err(FetchError::Lost));
-                self.tell(2 * WAY_MS, machine, event);
+            Source::Origin if self.faults.is_origin_unreachable => {
+                let event = transfer_event(
+                    version,
+                    item,
+                    source,
+                    Err(FetchError::Lost),
+                );
+                self.schedule_event(2 * LINK_DELAY_MS, machine, event);
             }
             Source::Origin => {
-                let event = self.answer_of_origin(version, item);
+                let event = self.origin_answer(version, item);
                 let took_ms = self.transfer_ms(None, machine, item);
-                self.tell(2 * WAY_MS + took_ms, machine, event);
+                self.schedule_event(
+                    2 * LINK_DELAY_MS + took_ms,
+                    machine,
+                    event,
+                );
             }
             Source::Peer(peer) => {
                 let to = (0..self.machines.len()).find(|i| ip(*i) == peer);
                 let to = to.expect("the peer is one of us");
                 let number = self.next_number;
-                self.asked.insert(number, (machine, version, item));
+                self.pending_requests.insert(number, (machine, version, item));
                 let ticket = Ticket(number);
                 let event =
                     Event::ItemRequested { ticket, version, item, hops };
-                self.tell(WAY_MS, to, event);
+                self.schedule_event(LINK_DELAY_MS, to, event);
             }
         }
     }
 
-    fn answer_of_origin(&mut self, version: u64, item: Item) -> Event {
+    fn origin_answer(&mut self, version: u64, item: Item) -> Event {
         let source = Source::Origin;
         match item {
             Item::Manifest => Event::Manifest {
@@ -568,17 +611,20 @@
             },
             Item::Chunk(index) => {
                 self.origin_chunks += 1;
-                let data = match self.strikes(self.faults.spoilt_per_mille) {
+                let data = match self.draw_fault(self.faults.corrupt_per_mille)
+                {
                     true => Bytes::from_static(b"spoilt"),
                     false => chunk(version, index),
                 };
-                came(version, item, source, Ok(data))
+                transfer_event(version, item, source, Ok(data))
             }
         }
     }
 
     fn answer(&mut self, from: usize, ticket: Ticket, content: Content) {
-        let Some((to, version, item)) = self.asked.remove(&ticket.0) else {
+        let Some((to, version, item)) =
+            self.pending_requests.remove(&ticket.0)
+        else {
             return;
         };
         let source = Source::Peer(ip(from));
@@ -590,15 +636,17 @@
             Content::Manifest(digests) => {
                 Event::Manifest { version, source, result: Ok(digests) }
             }
-            Content::Chunk(data) => came(version, item, source, Ok(data)),
+            Content::Chunk(data) => {
+                transfer_event(version, item, source, Ok(data))
+            }
             Content::Absent => {
-                came(version, item, source, Err(FetchError::Absent))
+                transfer_event(version, item, source, Err(FetchError::Absent))
             }
         };
-        self.tell(WAY_MS + took_ms, to, event);
+        self.schedule_event(LINK_DELAY_MS + took_ms, to, event);
     }
 
-    /// Milliseconds that an item takes over the links.
+    /// Returns the transfer time of an item, in milliseconds.
     fn transfer_ms(
         &mut self,
         from: Option<usize>,
@@ -614,10 +662,11 @@
         }
     }
 
-    /// Milliseconds from `since_ms` until the first, half and all machines
-    /// that live held a version whole; `None` for those it never reached.
+    /// Returns the times in milliseconds from `since_ms` until the first, half
+    /// and all live machines held a version whole; `None` for those not
+    /// reached.
     pub fn fill_ms(&self, version: u64, since_ms: u64) -> [Option<u64>; 3] {
-        let alive = self.machines.len() - self.faults.dead;
+        let alive = self.machines.len() - self.faults.dead_agents;
         let mut times: Vec<u64> = (0..alive)
             .filter_map(|machine| self.whole_ms.get(&(version, machine)))
             .map(|whole_ms| whole_ms - since_ms)
@@ -627,21 +676,22 @@
         [at(0), at(alive / 2 - 1), at(alive - 1)]
     }
 
-    /// Targets that serve a version.
-    pub fn serve(&self, version: u64) -> usize {
+    /// Returns the number of targets that serve a version.
+    pub fn serving_count(&self, version: u64) -> usize {
         self.machines
             .iter()
             .filter(|machine| machine.target.state.serves_version == version)
             .count()
     }
 
-    /// Orders carried out over chunks of another version, or long spoilt.
-    pub fn torn_orders(&self) -> u32 {
-        self.machines.iter().map(|machine| machine.target.torn_orders).sum()
+    /// Returns the number of orders carried out with staged chunks of another
+    /// version or with chunks that had been corrupt for long.
+    pub fn invalid_loads(&self) -> u32 {
+        self.machines.iter().map(|machine| machine.target.invalid_loads).sum()
     }
 }
 
-fn came(
+fn transfer_event(
     version: u64,
     item: Item,
     source: Source,
--- a/crates/raildale-core/tests/swarm_world/target.rs
+++ b/crates/raildale-core/tests/swarm_world/target.rs
@@ -1,4 +1,5 @@
-//! A target that loads what lies staged when it carries an order out.
+//! A simulated target that loads the staged chunks when it carries out an
+//! order.
 
 use bytes::Bytes;
 use raildale_core::swarm::{
@@ -7,54 +8,56 @@
 
 use super::{CHUNKS, chunk};
 
-/// What turns bad this shortly before an order cannot be known, in
-/// milliseconds.
-const SPOILT_LATELY_MS: u64 = 3_000;
+/// A chunk that became corrupt less than this many milliseconds before an
+/// order cannot have been noticed by the agent.
+const RECENT_CORRUPTION_MS: u64 = 3_000;
 
-/// A chunk that lies staged.
+/// A staged chunk.
 #[derive(Clone, Debug)]
 struct Staged {
-    /// What was put there.
+    /// The staged bytes.
     data: Bytes,
-    /// Since when it is spoilt.
-    spoilt_ms: Option<u64>,
+    /// When it became corrupt.
+    corrupt_since_ms: Option<u64>,
 }
 
-/// An order on its way.
+/// An order in transit.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The version that it names.
+    /// The version to load.
     pub version: u64,
-    /// What becomes of what runs.
+    /// How running requests are treated.
     pub method: LoadMethod,
-    /// What it relies on.
+    /// The condition under which the target accepts it.
     pub guard: OrderGuard,
 }
 
-/// A target.
+/// A simulated target.
 #[derive(Debug)]
 pub struct Target {
-    /// What it tells of itself.
+    /// The state that it reports.
     pub state: TargetState,
-    /// Versions that it loaded, oldest first.
+    /// The versions that it loaded, oldest first.
     pub loaded: Vec<(u64, LoadMethod)>,
-    /// Orders carried out over chunks of another version, or long spoilt.
-    pub torn_orders: u32,
+    /// The number of orders carried out with staged chunks of another version
+    /// or with chunks that had been corrupt for long.
+    pub invalid_loads: u32,
     start: u32,
-    /// The number in its id: the same for starts under one name.
-    name: u32,
+    /// The number in its start id, which restarts with the same id share.
+    id_number: u32,
     staged: Vec<Option<Staged>>,
 }
 
 impl Target {
-    /// A target that serves a version, which lies staged; 0 for none.
+    /// Creates a target that serves a version, whose chunks are staged; 0 for
+    /// none.
     pub fn new(serves_version: u64) -> Target {
         Target::with_chunks(serves_version, CHUNKS)
     }
 
-    /// The same, of versions of `chunk_count` chunks.
+    /// Does the same for versions of `chunk_count` chunks.
     pub fn with_chunks(serves_version: u64, chunk_count: u32) -> Target {
-        let lies = |index| match serves_version {
+        let staged_chunk = |index| match serves_version {
             0 => None,
             version => Some(Staged::new(chunk(version, index))),
         };
@@ -70,53 +73,53 @@
                 born_ms: Some(1),
             },
             loaded: Vec::new(),
-            torn_orders: 0,
+            invalid_loads: 0,
             start: 1,
-            name: 1,
-            staged: (0..chunk_count).map(lies).collect(),
+            id_number: 1,
+            staged: (0..chunk_count).map(staged_chunk).collect(),
         }
     }
 
-    /// Which start is up.
+    /// Returns the current start.
     pub fn start(&self) -> TargetStart {
         TargetStart::Named(self.start_id().as_str().into())
     }
 
     fn start_id(&self) -> String {
-        format!("start {}", self.name)
+        format!("start {}", self.id_number)
     }
 
-    /// Starts anew, empty; what lies staged outlasts that.
+    /// Restarts without a loaded version. Staged chunks are kept.
     pub fn restart(&mut self) {
         self.start += 1;
-        self.name = self.start;
+        self.id_number = self.start;
         self.state.serves_version = 0;
         self.state.running = 0;
         self.state.orders = 0;
         self.state.born_ms = Some(u64::from(self.start));
     }
 
-    /// Starts anew under its name; it holds and knows nothing of before.
-    pub fn restart_under_its_name(&mut self) {
-        let name = self.name;
+    /// Restarts with the same id. Staged chunks are lost.
+    pub fn restart_with_same_id(&mut self) {
+        let id_number = self.id_number;
         self.restart();
-        self.name = name;
+        self.id_number = id_number;
         self.staged.fill(None);
     }
 
-    /// Takes a chunk into staging.
+    /// Stages a chunk.
     pub fn put(&mut self, index: usize, data: Bytes) {
         self.staged[index] = Some(Staged::new(data));
     }
 
-    /// A chunk that lies staged turns bad.
-    pub fn spoil(&mut self, now_ms: u64, index: usize) {
+    /// Corrupts a staged chunk.
+    pub fn corrupt(&mut self, now_ms: u64, index: usize) {
         if let Some(staged) = &mut self.staged[index] {
-            staged.spoilt_ms.get_or_insert(now_ms);
+            staged.corrupt_since_ms.get_or_insert(now_ms);
         }
     }
 
-    /// What lies staged, with its places.
+    /// Returns the staged chunks with their indices.
     pub fn staged(&self) -> Vec<(u32, Bytes)> {
         (0..)
             .zip(&self.staged)
@@ -124,8 +127,8 @@
             .collect()
     }
 
-    /// Carries an order out. `LOAD_MS` later [`Target::finish`] is due if it
-    /// began.
+    /// Carries out an order. If that begins a load, [`Target::finish`] is due
+    /// `LOAD_MS` later.
     pub fn carry_out(&mut self, now_ms: u64, order: &Order) -> OrderOutcome {
         let id = self.start_id();
         if order.guard.start.as_deref().is_some_and(|start| *start != *id) {
@@ -140,7 +143,7 @@
         if self.staged.iter().any(Option::is_none) {
             return OrderOutcome::Refused;
         }
-        self.torn_orders += u32::from(!self.is_whole(now_ms, order.version));
+        self.invalid_loads += u32::from(!self.is_whole(now_ms, order.version));
         self.state.orders += 1;
         self.state.serves_version = 0;
         self.state.running = 0;
@@ -148,7 +151,7 @@
         OrderOutcome::Taken
     }
 
-    /// Serves what it loaded last, if it is still the start that began it.
+    /// Serves the version loaded last, if `start` is still the current start.
     pub fn finish(&mut self, start: u32) {
         if let Some((version, _)) = self.loaded.last()
             && start == self.start
@@ -157,7 +160,7 @@
         }
     }
 
-    /// The number of the start that is up.
+    /// Returns the number of the current start.
     pub fn start_number(&self) -> u32 {
         self.start
     }
@@ -165,22 +168,22 @@
     fn is_whole(&self, now_ms: u64, version: u64) -> bool {
         (0..).zip(&self.staged).all(|(index, staged)| {
             let Some(staged) = staged else { return false };
-            let is_long_spoilt = staged
-                .spoilt_ms
-                .is_some_and(|ms| now_ms >= ms + SPOILT_LATELY_MS);
-            staged.data == chunk(version, index) && !is_long_spoilt
+            let is_long_corrupt = staged
+                .corrupt_since_ms
+                .is_some_and(|ms| now_ms >= ms + RECENT_CORRUPTION_MS);
+            staged.data == chunk(version, index) && !is_long_corrupt
         })
     }
 }
 
 impl Staged {
     fn new(data: Bytes) -> Staged {
-        Staged { data, spoilt_ms: None }
+        Staged { data, corrupt_since_ms: None }
     }
 
-    /// What it reads as.
+    /// Returns the bytes that a read of the staging area yields.
     fn read(&self) -> Bytes {
-        match self.spoilt_ms {
+        match self.corrupt_since_ms {
             Some(_) => Bytes::from_static(b"spoilt"),
             None => self.data.clone(),
         }
