--- a/crates/raildale-core/src/swarm/sources.rs
+++ b/crates/raildale-core/src/swarm/sources.rs
@@ -273,9 +273,9 @@
 
     /// Returns whether a retry may go directly to the origin. In a large data
     /// centre only pseudo-randomly selected agents may, about
-    /// [`MAX_DIRECT_AGENTS`] of all. If 204 agents sent one of eight tries each to
-    /// an unreachable origin, on its return it would send 34 copies and serve
-    /// nobody in time.
+    /// [`MAX_DIRECT_AGENTS`] of all. If 204 agents sent one of eight tries
+    /// each to an unreachable origin, on its return it would send 34 copies
+    /// and serve nobody in time.
     fn may_go_to_origin(&self, key: usize, failures: u32) -> bool {
         let Some(trees) = &self.trees else { return true };
         let drawn =
@@ -301,8 +301,8 @@
         }
     }
 
-    /// Selects, by `rotation`, an agent among those that hold a version and are
-    /// not slow.
+    /// Selects, by `rotation`, an agent among those that hold a version and
+    /// are not slow.
     fn holder<'a>(
         &self,
         peers: impl Iterator<Item = &'a Peer>,
--- a/crates/raildale-core/tests/late_order_runs.rs
+++ b/crates/raildale-core/tests/late_order_runs.rs
@@ -17,20 +17,29 @@
 const MACHINES: usize = 6;
 const SEEDS: std::ops::Range<u64> = 0..60;
 
-fn unanswered_orders() -> Faults {
+fn base_faults() -> Faults {
     Faults { unanswered_orders_per_mille: 500, ..Faults::default() }
 }
 
 #[parameterized(
-    late_orders = { unanswered_orders() },
-    targets_restart = { Faults { target_restarts_per_mille: 20, ..unanswered_orders() } },
-    agents_restart = { Faults { agent_restarts_per_mille: 20, ..unanswered_orders() } },
-    chunks_turn_bad = { Faults { staged_corruptions_per_mille: 10, ..unanswered_orders() } },
+    late_orders = { base_faults() },
+    targets_restart = { Faults {
+        target_restarts_per_mille: 20,
+        ..base_faults()
+    } },
+    agents_restart = { Faults {
+        agent_restarts_per_mille: 20,
+        ..base_faults()
+    } },
+    chunks_become_corrupt = { Faults {
+        staged_corruptions_per_mille: 10,
+        ..base_faults()
+    } },
     restarts_and_losses = { Faults {
         target_restarts_per_mille: 15,
         agent_restarts_per_mille: 15,
         lost_per_mille: 20,
-        ..unanswered_orders()
+        ..base_faults()
     } },
 )]
 fn no_late_order_loads_the_wrong_chunks(faults: Faults) {
--- a/crates/raildale-core/tests/order_doubts.rs
+++ b/crates/raildale-core/tests/order_doubts.rs
@@ -16,41 +16,44 @@
 const MACHINES: usize = 6;
 const SEEDS: std::ops::Range<u64> = 0..60;
 
-fn unanswered_orders() -> Faults {
+fn base_faults() -> Faults {
     Faults { unanswered_orders_per_mille: 500, ..Faults::default() }
 }
 
 // A health check waits for a slot or is rejected like a request; a rejection
 // carries no id. It must not be treated as another start.
 #[parameterized(
-    deaf = { Faults { lost_reports_per_mille: 20, ..unanswered_orders() } },
+    reports_lost = { Faults { lost_reports_per_mille: 20, ..base_faults() } },
     checks_rejected = { Faults {
         lost_reports_per_mille: 20,
         rejected_checks_per_mille: 300,
-        ..unanswered_orders()
+        ..base_faults()
     } },
     checks_rejected_and_restarts = { Faults {
         lost_reports_per_mille: 20,
         rejected_checks_per_mille: 300,
         target_restarts_per_mille: 20,
-        ..unanswered_orders()
+        ..base_faults()
     } },
     checks_lost = { Faults {
         lost_reports_per_mille: 20,
         lost_checks_per_mille: 800,
-        ..unanswered_orders()
+        ..base_faults()
     } },
-    checks_lost_and_rot = { Faults {
+    checks_lost_and_chunks_corrupt = { Faults {
         lost_reports_per_mille: 20,
         lost_checks_per_mille: 900,
         staged_corruptions_per_mille: 10,
-        ..unanswered_orders()
+        ..base_faults()
+    } },
+    stagings_slow = { Faults {
+        slow_stagings_per_mille: 300,
+        ..base_faults()
     } },
-    stagings_slow = { Faults { slow_stagings_per_mille: 300, ..unanswered_orders() } },
     stagings_slow_and_restarts = { Faults {
         slow_stagings_per_mille: 300,
         target_restarts_per_mille: 20,
-        ..unanswered_orders()
+        ..base_faults()
     } },
 )]
 fn no_late_order_loads_the_wrong_chunks(faults: Faults) {
--- a/crates/raildale-core/tests/relays.rs
+++ b/crates/raildale-core/tests/relays.rs
@@ -160,13 +160,13 @@
     let now_ms = START_MS + 10_000;
     assert_eq!(members.addresses_for(now_ms, "centre-3", true, 0).len(), 1);
     let IpAddr::V4(address) = ip(3) else { panic!("an IPv4 address") };
-    let told = DigestEntryHost {
+    let reported = DigestEntryHost {
         ip: u32::from(address),
         is_ready: true,
         is_leaving: false,
         demand_per_s: 7.0,
     };
-    members.on_digest_entry(now_ms, &told);
+    members.on_digest_entry(now_ms, &reported);
     let addresses = members.addresses_for(now_ms, "centre-3", true, 0);
     assert_eq!(addresses[0], ip(3));
     let (senders, _) = members.senders(now_ms, 1.0);
@@ -175,7 +175,7 @@
     let later_ms = now_ms + SILENT_MS + 1;
     let (senders, _) = members.senders(later_ms, 1.0);
     assert_eq!(senders.len(), 1, "digests no longer name it");
-    members.on_digest_entry(later_ms, &DigestEntryHost { ip: 1, ..told });
+    members.on_digest_entry(later_ms, &DigestEntryHost { ip: 1, ..reported });
     assert_eq!(members.others().count(), LARGE - 1, "no list names it");
 }
 
--- a/crates/raildale-core/tests/restore_model.rs
+++ b/crates/raildale-core/tests/restore_model.rs
@@ -54,7 +54,8 @@
         6 => process().prop_map(Step::Watch),
         1 => Just(Step::HoldAnswer),
         2 => process().prop_map(Step::DeliverHeld),
-        4 => (process(), process()).prop_map(|(from, to)| Step::Forward(from, to)),
+        4 => (process(), process())
+            .prop_map(|(from, to)| Step::Forward(from, to)),
         1 => process().prop_map(Step::Restart),
     ];
     prop::collection::vec(step, 1..80)
--- a/crates/raildale-core/tests/swarm_runs.rs
+++ b/crates/raildale-core/tests/swarm_runs.rs
@@ -21,9 +21,9 @@
 }
 
 #[parameterized(
-    sound = { no_faults(), 18 },
+    faultless = { no_faults(), 18 },
     losses = { Faults { lost_per_mille: 50, ..no_faults() }, 40 },
-    spoilt = { Faults { corrupt_per_mille: 200, ..no_faults() }, 40 },
+    corrupt_chunks = { Faults { corrupt_per_mille: 200, ..no_faults() }, 40 },
     dead_agents = { Faults { dead_agents: 3, ..no_faults() }, 30 },
 )]
 fn an_empty_fleet_loads_the_first_version(
@@ -45,9 +45,9 @@
 }
 
 #[parameterized(
-    sound = { no_faults() },
+    faultless = { no_faults() },
     losses = { Faults { lost_per_mille: 50, ..no_faults() } },
-    spoilt = { Faults { corrupt_per_mille: 200, ..no_faults() } },
+    corrupt_chunks = { Faults { corrupt_per_mille: 200, ..no_faults() } },
 )]
 fn a_named_version_is_loaded_in_turns_within_its_bound(faults: Faults) {
     for seed in 0..20 {
