--- a/crates/raildale-core/src/members/relays.rs
+++ b/crates/raildale-core/src/members/relays.rs
@@ -1,76 +1,78 @@
-//! Who tells whom in a fleet of many data centres.
+//! Communication between entry hosts in a fleet of many data centres.
 //!
-//! In a small fleet every entry host tells every other one all it knows, and
-//! hears every agent. What that costs grows with the square of the fleet: 149
-//! entry hosts before 120 agents would exchange 270,000 datagrams a second,
-//! four in five of them between regions. In a large one an entry host
-//! therefore talks to those of its own data centre alone. Two of each data
-//! centre, its relays, tell those of the others what they hear there, as one
-//! digest, and whoever receives one passes it on next door.
+//! In a small fleet every entry host sends heartbeats to every other one and
+//! receives the reports of every agent. The cost grows with the square of the
+//! fleet: 149 entry hosts with 120 agents would exchange 270,000 datagrams a
+//! second, four in five of them between regions. In a large fleet an entry
+//! host therefore communicates only within its own data centre. Two relays of
+//! each data centre send the state of their data centre to those of the others
+//! as one digest, and the recipient forwards it within its data centre.
 
 use std::{collections::BTreeMap, net::IpAddr};
 
 use super::{
-    Heard, Heartbeat, Member, Members, SILENT_MS, WATCHER_SILENT_MS,
-    heartbeat_within,
+    Heartbeat, Member, Members, ReceivedHeartbeat, SILENT_MS,
+    WATCHER_TIMEOUT_MS, heartbeat_within,
 };
 use crate::{
     Name,
     fleet_message::{DigestEntryHost, Echo},
 };
 
-/// Entry hosts up to which each tells every other one, and hears every agent:
-/// at 48 they exchange 5,600 heartbeats a second, 117 for each of them.
-const MESH_MOST: usize = 48;
+/// The maximum number of entry hosts that all communicate with each other and
+/// with every agent. 48 of them exchange 5,600 heartbeats a second, 117 each.
+const MAX_MESH_MEMBERS: usize = 48;
 
-/// Relays of a data centre: one may die or freeze unnoticed for a moment, and
-/// the second one covers that.
+/// The number of relays of a data centre. The second one covers for a relay
+/// that has died or frozen without this being detected yet.
 pub const RELAYS: usize = 2;
 
-/// Heartbeats between two digests of a relay; the relays of a data centre
-/// take turns, so that one leaves with every heartbeat.
-pub const DIGEST_EVERY: u64 = RELAYS as u64;
+/// The number of heartbeats between two digests of a relay. The relays of a
+/// data centre take turns, so that one digest is sent with every heartbeat.
+pub const HEARTBEATS_PER_DIGEST: u64 = RELAYS as u64;
 
-/// How long a measured way to another data centre counts, in milliseconds:
-/// three digests.
-const WAY_FRESH_MS: u64 = 2_400;
+/// How long a measured round trip to another data centre is valid, in
+/// milliseconds: three digests.
+const MAX_ROUND_TRIP_AGE_MS: u64 = 2_400;
 
 impl Members {
-    /// Whether the fleet is too large for all to tell one another.
+    /// Returns whether the fleet is too large for all entry hosts to
+    /// communicate with each other.
     pub fn is_large(&self) -> bool {
-        self.others.len() >= MESH_MOST
+        self.others.len() >= MAX_MESH_MEMBERS
     }
 
-    /// Whether this entry host exchanges heartbeats with those of a data
-    /// centre, and hears the agents there.
-    pub fn reaches_centre(&self, data_centre: &str) -> bool {
+    /// Returns whether this entry host exchanges heartbeats with those of a
+    /// data centre and receives the reports of its agents.
+    pub fn reaches_data_centre(&self, data_centre: &str) -> bool {
         !self.is_large() || *self.own.data_centre == *data_centre
     }
 
-    /// Whether this entry host exchanges heartbeats with the one at `ip`.
-    pub(super) fn reaches(&self, ip: IpAddr) -> bool {
+    /// Returns whether this entry host exchanges heartbeats with the one at
+    /// `ip`.
+    pub(super) fn reaches_member(&self, ip: IpAddr) -> bool {
         let member = self.others.get(&ip);
-        member.is_none_or(|m| self.reaches_centre(&m.entry.data_centre))
+        member.is_none_or(|m| self.reaches_data_centre(&m.entry.data_centre))
     }
 
-    /// The entry hosts with which this one exchanges heartbeats, alive or
-    /// not.
+    /// Returns the entry hosts with which this one exchanges heartbeats, alive
+    /// or not.
     pub fn neighbours(&self) -> impl Iterator<Item = IpAddr> + '_ {
         let members = self.others.iter();
         members
-            .filter(|(_, m)| self.reaches_centre(&m.entry.data_centre))
+            .filter(|(_, m)| self.reaches_data_centre(&m.entry.data_centre))
             .map(|(ip, _)| *ip)
     }
 
-    /// Whether no other entry host was heard of late: one that has just
-    /// started, or was cut off, turns to the seeds.
-    pub fn hears_nobody(&self, now_ms: u64) -> bool {
+    /// Returns whether no other entry host was heard recently. An entry host
+    /// that has just started or was disconnected contacts the seeds.
+    pub fn is_isolated(&self, now_ms: u64) -> bool {
         !self.others.values().any(|member| super::is_heard(member, now_ms))
     }
 
-    /// The place of this entry host among the relays of its data centre;
-    /// `None` if it is none of them, or the fleet needs none.
-    pub fn relay_place(
+    /// Returns the index of this entry host among the relays of its data
+    /// centre; `None` if it is not a relay, or the fleet needs none.
+    pub fn relay_index(
         &self,
         now_ms: u64,
         is_own_ready: bool,
@@ -80,18 +82,18 @@
         }
         let own = (self.own.ip, is_own_ready);
         let here = self.own.data_centre.clone();
-        let heard_ms = WATCHER_SILENT_MS;
+        let heard_ms = WATCHER_TIMEOUT_MS;
         let relays = self.ranked(now_ms, &here, heard_ms, Some(own));
         relays.iter().take(RELAYS).position(|ip| *ip == self.own.ip)
     }
 
-    /// Where the digest of the relay at `place` goes: to the relay of the
-    /// same place in each other data centre or, where nobody is heard, to one
-    /// that is listed, by `draw`.
+    /// Returns the recipients of the digest of the relay with `index`: in each
+    /// other data centre the relay of the same index or, if none is heard
+    /// there, a listed entry host selected by `draw`.
     pub fn digest_recipients(
         &self,
         now_ms: u64,
-        place: usize,
+        index: usize,
         draw: usize,
     ) -> Vec<IpAddr> {
         let mut centres: BTreeMap<&Name, Vec<IpAddr>> = BTreeMap::new();
@@ -105,14 +107,15 @@
             let relays = self.ranked(now_ms, centre, SILENT_MS, None);
             match relays.len() {
                 0 => listed[draw % listed.len()],
-                count => relays[place.min(count - 1)],
+                count => relays[index.min(count - 1)],
             }
         };
         centres.into_iter().map(recipient).collect()
     }
 
-    /// Entry hosts of a data centre that were heard within `heard_ms` and are
-    /// not leaving, those that are ready first, by address.
+    /// Returns the entry hosts of a data centre that were heard within
+    /// `heard_ms` and are not leaving: those that are ready first, then by
+    /// address.
     fn ranked(
         &self,
         now_ms: u64,
@@ -132,7 +135,8 @@
         ranked.into_iter().map(|(_, ip)| ip).collect()
     }
 
-    /// The entry hosts of the own data centre that are heard, for a digest.
+    /// Returns the entry hosts of the own data centre that are heard, for a
+    /// digest.
     pub fn digest_entry_hosts(&self, now_ms: u64) -> Vec<DigestEntryHost> {
         let here = self.others.iter().filter(|(_, member)| {
             member.entry.data_centre == self.own.data_centre
@@ -150,51 +154,53 @@
         .collect()
     }
 
-    /// Takes in what a digest tells of another entry host; one that no list
-    /// names yet is passed over. What it knows of the store stays untold.
-    pub fn heard_of(&mut self, now_ms: u64, told: &DigestEntryHost) {
-        let ip = IpAddr::V4(told.ip.into());
+    /// Records the state of another entry host from a digest. An entry host
+    /// that is on no list is ignored. A digest does not carry its knowledge of
+    /// the store, so that stays as it was.
+    pub fn on_digest_entry(&mut self, now_ms: u64, entry: &DigestEntryHost) {
+        let ip = IpAddr::V4(entry.ip.into());
         let Some(member) = self.others.get_mut(&ip) else { return };
-        let before = member.heard.take();
-        let known = before.map(|heard| heard.heartbeat).unwrap_or_default();
+        let previous = member.last_heartbeat.take();
+        let known = previous.map(|heard| heard.heartbeat).unwrap_or_default();
         let heartbeat = Heartbeat {
-            is_ready: told.is_ready,
-            is_leaving: told.is_leaving,
-            demand_per_s: f64::from(told.demand_per_s),
+            is_ready: entry.is_ready,
+            is_leaving: entry.is_leaving,
+            demand_per_s: f64::from(entry.demand_per_s),
             ..known
         };
-        member.heard = Some(Heard { at_ms: now_ms, heartbeat });
+        member.last_heartbeat =
+            Some(ReceivedHeartbeat { at_ms: now_ms, heartbeat });
     }
 
-    /// The ways to the relays of other data centres.
-    pub fn ways(&mut self) -> &mut Ways {
-        &mut self.ways
+    /// Returns the round trips to the relays of other data centres.
+    pub fn round_trips(&mut self) -> &mut RelayRoundTrips {
+        &mut self.round_trips
     }
 }
 
-/// The ways to the relays of other data centres, measured by what each sends
-/// back of the other's clock.
+/// Round trips to the relays of other data centres, measured by the timestamps
+/// that each side echoes.
 #[derive(Debug, Default)]
-pub struct Ways {
-    by_relay: BTreeMap<u32, Way>,
+pub struct RelayRoundTrips {
+    by_relay: BTreeMap<u32, RoundTrip>,
 }
 
-/// The way to one relay.
+/// The round trip to one relay.
 #[derive(Clone, Copy, Debug)]
-struct Way {
-    /// The relay's clock in its last digest.
+struct RoundTrip {
+    /// The sending time of the relay's last digest, on its clock.
     sent_ms: u64,
-    /// When that came.
-    came_ms: u64,
-    /// Milliseconds there and back.
+    /// When that digest was received.
+    received_ms: u64,
+    /// The round trip in milliseconds; 0 if not measured.
     round_trip_ms: u64,
 }
 
-impl Ways {
-    /// Takes in a digest of the relay at `relay_ip`, sent at `sent_ms` on its
-    /// clock, with what it tells of those from here; returns the way there
-    /// and back in milliseconds, 0 if none is measured yet.
-    pub fn note(
+impl RelayRoundTrips {
+    /// Records a digest that the relay at `relay_ip` sent at `sent_ms` on its
+    /// clock, with its `echoes` of digests from here. Returns the round trip
+    /// in milliseconds, 0 if it has not been measured yet.
+    pub fn record(
         &mut self,
         now_ms: u64,
         relay_ip: u32,
@@ -203,28 +209,33 @@
         echoes: &[Echo],
     ) -> u64 {
         let own = echoes.iter().find(|e| IpAddr::V4(e.ip.into()) == own_ip);
-        let before = self.by_relay.get(&relay_ip);
-        let before_ms = before
-            .filter(|way| now_ms < way.came_ms + WAY_FRESH_MS)
-            .map_or(0, |way| way.round_trip_ms);
-        let round_trip_ms = own.map_or(before_ms, |echo| {
+        let previous = self.by_relay.get(&relay_ip);
+        let previous_ms = previous
+            .filter(|measured| {
+                now_ms < measured.received_ms + MAX_ROUND_TRIP_AGE_MS
+            })
+            .map_or(0, |measured| measured.round_trip_ms);
+        let round_trip_ms = own.map_or(previous_ms, |echo| {
             let since_ms = now_ms.saturating_sub(echo.sent_ms);
             since_ms.saturating_sub(echo.age_ms)
         });
-        let way = Way { sent_ms, came_ms: now_ms, round_trip_ms };
-        self.by_relay.insert(relay_ip, way);
+        let measured =
+            RoundTrip { sent_ms, received_ms: now_ms, round_trip_ms };
+        self.by_relay.insert(relay_ip, measured);
         round_trip_ms
     }
 
-    /// What goes back to the relays that were heard of late.
+    /// Returns the echoes for the relays that were heard recently.
     pub fn echoes(&self, now_ms: u64) -> Vec<Echo> {
         self.by_relay
             .iter()
-            .filter(|(_, way)| now_ms < way.came_ms + WAY_FRESH_MS)
-            .map(|(ip, way)| Echo {
+            .filter(|(_, measured)| {
+                now_ms < measured.received_ms + MAX_ROUND_TRIP_AGE_MS
+            })
+            .map(|(ip, measured)| Echo {
                 ip: *ip,
-                sent_ms: way.sent_ms,
-                age_ms: now_ms.saturating_sub(way.came_ms),
+                sent_ms: measured.sent_ms,
+                age_ms: now_ms.saturating_sub(measured.received_ms),
             })
             .collect()
     }
--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -1,12 +1,13 @@
-//! The agent's reducer: events in, effects out.
+//! The agent's reducer, which turns events into effects.
 //!
-//! * [`messages`]: the events, the effects and what they carry.
-//! * `arrivals`: manifests and chunks that came, or did not.
-//! * `transfers`: which transfers start, from whom, and for how long.
-//! * `questions`: what other agents ask for.
-//! * `change_over`: staging, and the target's change-over.
+//! * [`messages`]: the events, the effects and their contents.
+//! * `arrivals`: received manifests and chunks, and failed transfers.
+//! * `transfers`: which transfers start, from which source, and their
+//!   time-outs.
+//! * `requests`: requests of other agents for items.
+//! * `target_swap`: staging, and the target's change-over.
 //! * `orders`: which orders the target may still carry out.
-//! * `found`: what an earlier agent left staged.
+//! * `prior_staging`: chunks that an earlier agent left staged.
 
 use std::{collections::BTreeMap, net::IpAddr};
 
@@ -19,30 +20,30 @@
 use crate::{Name, gateway::TargetReport, log_event::LogEvent};
 
 mod arrivals;
-mod change_over;
-mod found;
 pub mod messages;
 mod orders;
-mod questions;
+mod prior_staging;
+mod requests;
+mod target_swap;
 mod transfers;
 
-use self::{found::Found, orders::Orders};
+use self::{orders::Orders, prior_staging::PriorStaging};
 
 pub use self::messages::{
     Content, Effect, Event, FetchError, Item, OrderGuard, OrderOutcome,
     TargetStart, TargetState, Ticket,
 };
 
-/// What an agent is told at its start.
+/// The start-up configuration of an agent.
 #[derive(Clone, Debug)]
 pub struct SwarmConfig {
     /// Its own address.
     pub ip: IpAddr,
-    /// The data centre that it stands in.
+    /// The data centre in which it runs.
     pub data_centre: Name,
-    /// Transfers at once.
-    pub parallel: usize,
-    /// Times of a change-over.
+    /// The maximum number of concurrent transfers.
+    pub max_transfers: usize,
+    /// Timing of a change-over.
     pub swap: SwapConfig,
 }
 
@@ -55,65 +56,66 @@
     may_cut: bool,
     origin_connections: usize,
     window: Window,
-    /// How long what comes in waits before the own link, in milliseconds.
-    queue_ms: u64,
-    /// When each version was named, by its number.
+    /// The queueing delay of the inbound link, in milliseconds.
+    queue_delay_ms: u64,
+    /// When each version was named, by version number.
     named: BTreeMap<u64, u64>,
-    /// What is held of each version, by its number.
+    /// The state of each version, by version number.
     versions: BTreeMap<u64, Version>,
     target: TargetState,
-    /// When the target last told that it started.
+    /// The last start time that the target reported.
     last_born_ms: Option<u64>,
     orders: Orders,
-    found: Found,
+    prior_staging: PriorStaging,
     phase: SwapPhase,
     /// Whether chunks are being staged.
     is_staging: bool,
-    /// No change-over begins before this.
+    /// No change-over begins, and no order is sent, before this time.
     not_before_ms: u64,
     /// When the progress of a version was last logged.
-    progress_told_ms: u64,
+    progress_logged_ms: u64,
 }
 
-/// Pause before something that failed is tried again, in milliseconds.
+/// The base pause before a retry, in milliseconds. For transfers it doubles
+/// with each failure.
 const RETRY_PAUSE_MS: u64 = 30;
 
-/// A version without a new chunk for this long is stalled, in milliseconds:
-/// on the users' links a chunk comes every 42 ms, and on a squeezed one of
-/// 1.2 Mbit/s every 330 ms.
-const STALLED_MS: u64 = 1_000;
+/// A version is stalled after this many milliseconds without a new chunk. A
+/// chunk arrives every 42 ms on ordinary links, and every 330 ms on a link
+/// limited to 1.2 Mbit/s.
+const STALL_TIMEOUT_MS: u64 = 1_000;
 
-/// Longest pause before something that failed is tried again, in
-/// milliseconds.
-const RETRY_PAUSE_MOST_MS: u64 = 800;
+/// The maximum pause before a retry, in milliseconds.
+const MAX_RETRY_PAUSE_MS: u64 = 800;
 
 impl Swarm {
-    /// An agent that knows nothing yet.
+    /// Creates an agent without any information about the service, its peers
+    /// or its target.
     pub fn new(config: SwarmConfig) -> Swarm {
         let sources = Sources::new(config.ip, config.data_centre.clone());
-        let parallel = config.parallel;
+        let max_transfers = config.max_transfers;
         Swarm {
             config,
             sources,
             chunk_count: 0,
             may_cut: false,
             origin_connections: 0,
-            window: Window::new(parallel),
-            queue_ms: 0,
+            window: Window::new(max_transfers),
+            queue_delay_ms: 0,
             named: BTreeMap::new(),
             versions: BTreeMap::new(),
             target: TargetState::default(),
             last_born_ms: None,
             orders: Orders::default(),
-            found: Found::default(),
+            prior_staging: PriorStaging::default(),
             phase: SwapPhase::Idle,
             is_staging: false,
             not_before_ms: 0,
-            progress_told_ms: 0,
+            progress_logged_ms: 0,
         }
     }
 
-    /// What the entry hosts are told.
+    /// Returns the report for the entry hosts.
     pub fn report(&self) -> TargetReport {
         let whole = self.versions.values().rev().find(|v| v.is_whole());
         TargetReport {
@@ -130,23 +132,25 @@
         }
     }
 
-    /// Chunks that are missing before the target can load what is wanted.
+    /// Returns the number of chunks that the target needs before it can load
+    /// the wanted version; 0 if it serves that version already.
     fn missing_chunks(&self) -> u32 {
         let wanted = self.wanted();
         if self.target.serves_version >= wanted {
             return 0;
         }
-        let held = self.versions.get(&wanted).map_or(0, Version::held);
+        let held = self.versions.get(&wanted).map_or(0, Version::held_count);
         self.chunk_count.saturating_sub(held) as u32
     }
 
-    /// Whether nothing is under way.
-    pub fn is_calm(&self) -> bool {
+    /// Returns whether the target serves the newest version and no change-over
+    /// is active.
+    pub fn is_settled(&self) -> bool {
         self.target.serves_version >= self.wanted()
             && self.phase == SwapPhase::Idle
     }
 
-    /// Takes an event in; what is to be done is pushed to `effects`.
+    /// Handles an event and appends the resulting effects to `effects`.
     pub fn reduce(
         &mut self,
         now_ms: u64,
@@ -160,50 +164,54 @@
                 self.origin_connections = origin_connections as usize;
             }
             Event::Named { version, named_ms } => {
-                self.named(version, named_ms, effects);
+                self.on_named(version, named_ms, effects);
             }
             Event::Peers(peers) => self.sources.set_peers(peers),
             Event::Manifest { version, source, result } => {
-                self.manifest_came(now_ms, version, source, result, effects);
+                self.on_manifest(now_ms, version, source, result, effects);
             }
             Event::Chunk { version, index, source, result, took_ms } => {
-                self.note_pace(source, &result, took_ms);
-                self.chunk_came(
-                    now_ms, version, index, source, result, effects,
-                );
+                self.record_transfer_time(source, &result, took_ms);
+                self.on_chunk(now_ms, version, index, source, result, effects);
             }
             Event::StagingRead { chunks } => {
-                self.staging_read(now_ms, chunks, effects);
+                self.on_staging_read(now_ms, chunks, effects);
+            }
+            Event::TargetStart(start) => {
+                self.on_target_start(now_ms, start, effects)
+            }
+            Event::QueueDelay(ms) => self.queue_delay_ms = ms,
+            Event::Target(state) => {
+                self.on_target_state(now_ms, state, effects)
             }
-            Event::Start(start) => self.start_told(now_ms, start, effects),
-            Event::QueueDelay(ms) => self.queue_ms = ms,
-            Event::Target(state) => self.target_told(now_ms, state, effects),
             Event::Staged { version, is_done } => {
-                self.staged(now_ms, version, is_done);
+                self.on_staged(now_ms, version, is_done);
             }
             Event::Ordered { guard, outcome } => {
-                self.ordered(now_ms, &guard, outcome, effects);
+                self.on_order_outcome(now_ms, &guard, outcome, effects);
             }
-            Event::Asked { ticket, version, item, hops } => {
-                self.asked(now_ms, ticket, version, item, hops, effects);
+            Event::ItemRequested { ticket, version, item, hops } => {
+                self.on_item_requested(
+                    now_ms, ticket, version, item, hops, effects,
+                );
             }
             Event::Tick => {
                 self.expire_waiters(now_ms, effects);
                 self.expire_transfers(now_ms);
-                self.forget_old();
-                self.tell_progress(now_ms, effects);
+                self.drop_old_versions();
+                self.log_progress(now_ms, effects);
             }
         }
-        self.go_on(now_ms, effects);
+        self.advance(now_ms, effects);
     }
 
-    /// The version that the target should serve.
+    /// Returns the version that the target should serve.
     fn wanted(&self) -> u64 {
         const FIRST_VERSION: u64 = 1;
         self.named.keys().next_back().copied().unwrap_or(FIRST_VERSION)
     }
 
-    fn named(
+    fn on_named(
         &mut self,
         version: u64,
         named_ms: u64,
@@ -218,38 +226,39 @@
         effects.push(Effect::Log(LogEvent::SpreadJoined, detail));
     }
 
-    /// Whether a version has come no nearer to being whole for a while.
+    /// Returns whether a version is incomplete and has made no progress for
+    /// [`STALL_TIMEOUT_MS`].
     fn is_stalled(&self, now_ms: u64, version: u64) -> bool {
         let held = self.versions.get(&version);
         held.is_some_and(|held| {
             let named_ms = self.named.get(&version).copied().unwrap_or(0);
             let since_ms = held.progress_ms.max(named_ms);
-            !held.is_whole() && now_ms >= since_ms + STALLED_MS
+            !held.is_whole() && now_ms >= since_ms + STALL_TIMEOUT_MS
         })
     }
 
-    fn open(&mut self, version: u64) -> &mut Version {
+    fn version_entry(&mut self, version: u64) -> &mut Version {
         let count = self.chunk_count;
         self.versions
             .entry(version)
             .or_insert_with(|| Version::new(version, count))
     }
 
-    /// Drops versions older than the one served; nobody else needs them once
-    /// a newer one is served here, since all targets go the same way.
-    fn forget_old(&mut self) {
+    /// Drops versions older than the served one. No other agent needs them
+    /// once a newer version is served here, as all targets move to the same
+    /// newer versions.
+    fn drop_old_versions(&mut self) {
         let served = self.target.serves_version;
         self.versions.retain(|number, _| *number >= served);
     }
 
-    fn go_on(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
-        // An agent that knows of no other would take everything from the
-        // origin.
-        if self.chunk_count == 0 || !self.sources.is_known() {
+    fn advance(&mut self, now_ms: u64, effects: &mut Vec<Effect>) {
+        // An agent without known peers would fetch everything from the origin.
+        if self.chunk_count == 0 || !self.sources.has_peers() {
             return;
         }
-        self.ask_start(now_ms, effects);
-        self.read_found(now_ms, effects);
+        self.query_start(now_ms, effects);
+        self.read_prior_staging(now_ms, effects);
         self.fetch(now_ms, effects);
         self.swap(now_ms, effects);
     }
--- a/crates/raildale-core/src/swarm/sources.rs
+++ b/crates/raildale-core/src/swarm/sources.rs
@@ -1,38 +1,39 @@
-//! Who is asked for a chunk.
+//! Selects the source of each chunk.
 //!
-//! Whoever holds the version in the own data centre comes first. Otherwise
-//! each chunk has one agent a data centre that brings it in, and one of
-//! these brings it from the origin; all agents work that out alike from the
-//! list of live agents, without asking anybody. A tracker that hands out
-//! transfers was the product's first way; it costs a round trip a chunk,
-//! which at 48 chunks in two seconds is a tenth of the time. The list may
-//! differ between agents for a while: transfers time out and go elsewhere.
+//! Agents in the own data centre that hold the whole version are preferred.
+//! Otherwise each chunk has one owner per data centre that fetches it from
+//! outside, and one of these owners fetches it from the origin. All agents
+//! derive the owners from the list of live agents without any communication. A
+//! tracker that assigns transfers would cost a round trip per chunk, which at
+//! 48 chunks in two seconds is a tenth of the time. The lists of different
+//! agents may differ temporarily; transfers that time out are retried at
+//! another source.
 //!
-//! In a large data centre the owner of a chunk could not send it to everybody
-//! in time: chunks go down a tree there ([`super::tree`]).
+//! In a large data centre the owner of a chunk could not send it to all agents
+//! in time, so chunks are forwarded along a tree ([`super::tree`]).
 
 use std::net::IpAddr;
 
 use super::{reducer::Item, tree::Trees};
 use crate::Name;
 
-/// Another agent, as the entry hosts tell of it.
+/// Another agent, as reported by the entry hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its address.
     pub ip: IpAddr,
-    /// The data centre that it stands in.
+    /// The data centre in which it runs.
     pub data_centre: Name,
     /// The newest version of which it holds every chunk; 0 if none.
     pub whole_version: u64,
     /// The version that its target serves; 0 if none.
     pub serves_version: u64,
-    /// Whether the way to it is slow, or it is silent: nobody should wait
-    /// for what it brings in.
+    /// Whether its connection is slow or it is silent. Other agents do not
+    /// wait for chunks that it fetches.
     pub is_slow: bool,
 }
 
-/// Who is asked.
+/// The source of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// Another agent.
@@ -41,79 +42,83 @@
     Origin,
 }
 
-/// Of this many tries one goes straight to the origin. With fewer, a fleet
-/// that starts empty runs the origin out of connections: each agent then
-/// asks it for everything.
-const STRAIGHT_EVERY: u32 = 8;
+/// One in this many tries goes directly to the origin. A smaller number
+/// exhausts the origin's connections when the whole fleet starts empty, as
+/// each agent then requests everything from the origin.
+const DIRECT_TRY_INTERVAL: u32 = 8;
 
-/// Agents of a large fleet whose lost tries may go straight to the origin at
-/// a time: its link is full with as many.
-const STRAIGHT_MOST: usize = 8;
+/// The maximum number of agents of a large fleet whose retries may go directly
+/// to the origin at a time. This number saturates the origin's link.
+const MAX_DIRECT_AGENTS: usize = 8;
 
-/// Agents that bring chunks in from the origin. Its link is full with half as
-/// many, as the next one sends while one opens a connection.
-const ORIGIN_OWNERS_MOST: usize = 8;
+/// The maximum number of agents that fetch chunks from the origin. Half as
+/// many saturate its link; the others send while one opens a connection.
+const MAX_ORIGIN_OWNERS: usize = 8;
 
-/// Tries at one source before the next one is asked.
+/// The number of tries at one source before the next one is selected.
 pub const TRIES_PER_SOURCE: u32 = 2;
 
-/// Agents that a question passes at most before the origin is asked: the
-/// data centre's owner, and the owner of all.
-const MOST_HOPS: u32 = 2;
+/// The maximum number of agents that a request passes before it goes to the
+/// origin: the owner in the data centre and the owner for the origin.
+const MAX_HOPS: u32 = 2;
 
-/// The same where chunks go down a tree: its depth comes on top, ten at a
-/// thousand agents.
-const MOST_TREE_HOPS: u32 = 12;
+/// The same limit where chunks are forwarded along a tree. The depth of the
+/// tree is added: ten for a thousand agents.
+const MAX_TREE_HOPS: u32 = 12;
 
-/// The live agents, as one of them sees them.
+/// The live agents, as seen by one of them.
 #[derive(Debug)]
 pub struct Sources {
     own_ip: IpAddr,
     data_centre: Name,
     peers: Vec<Peer>,
-    /// All agents, neighbours in different data centres.
+    /// All agents, ordered so that neighbours are in different data centres.
     order: Vec<IpAddr>,
-    /// Those that bring chunks in from the origin.
-    owners_of_all: Vec<IpAddr>,
-    /// The ways of chunks in the own data centre, if it is large.
+    /// Agents that fetch chunks from the origin.
+    origin_owners: Vec<IpAddr>,
+    /// The distribution trees of the own data centre, if it is large.
     trees: Option<Trees>,
 }
 
-/// Agents from which on the slow ones are looked at together.
-const MANY_AGENTS: usize = 48;
+/// The minimum number of agents for which slow agents are counted before any
+/// is treated as slow.
+const LARGE_FLEET_AGENTS: usize = 48;
 
-/// Of a large fleet more than a third is never slow by itself: after a loss of
-/// all, its links are full of chunks. Taken for slow, nobody owned anything, and
-/// each of 204 agents asked the origin for all.
-fn forget_slow_if_most(peers: &mut [Peer]) {
+/// Clears the slow flags of a large fleet if more than a third of its agents
+/// are slow. After a loss of all state every link is full of chunks, so
+/// slowness says nothing about a single agent. If all were treated as slow, no
+/// agent would own any chunk, and each of 204 agents would request everything
+/// from the origin.
+fn clear_widespread_slowness(peers: &mut [Peer]) {
     let slow = peers.iter().filter(|peer| peer.is_slow).count();
-    if peers.len() >= MANY_AGENTS && slow * 3 > peers.len() {
+    if peers.len() >= LARGE_FLEET_AGENTS && slow * 3 > peers.len() {
         peers.iter_mut().for_each(|peer| peer.is_slow = false);
     }
 }
 
 impl Sources {
-    /// An agent that knows of no other.
+    /// Creates the state of an agent that knows no others.
     pub fn new(own_ip: IpAddr, data_centre: Name) -> Sources {
         Sources {
             own_ip,
             data_centre,
             peers: Vec::new(),
             order: Vec::new(),
-            owners_of_all: Vec::new(),
+            origin_owners: Vec::new(),
             trees: None,
         }
     }
 
-    /// Whether a list of live agents has come.
-    pub fn is_known(&self) -> bool {
+    /// Returns whether a list of live agents has been received.
+    pub fn has_peers(&self) -> bool {
         !self.peers.is_empty()
     }
 
-    /// Takes over the list of live agents; the own entry is added if it is
-    /// missing, as one that brings nothing in: the others do not know of it.
+    /// Replaces the list of live agents. A missing own entry is added and
+    /// marked as slow, so that it owns no chunk: the other agents do not know
+    /// of this one.
     pub fn set_peers(&mut self, mut peers: Vec<Peer>) {
-        forget_slow_if_most(&mut peers);
+        clear_widespread_slowness(&mut peers);
         if peers.iter().all(|peer| peer.ip != self.own_ip) {
             peers.push(Peer {
                 ip: self.own_ip,
@@ -126,21 +131,23 @@
         peers.sort_by_key(|peer| peer.ip);
         peers.dedup_by_key(|peer| peer.ip);
         self.peers = peers;
-        self.order = self.in_turn();
-        let is_able = |ip: &&IpAddr| !self.is_lost(Source::Peer(**ip));
-        let able = self.order.iter().filter(is_able);
-        self.owners_of_all = able.take(ORIGIN_OWNERS_MOST).copied().collect();
-        self.grow_trees();
+        self.order = self.interleaved_by_data_centre();
+        let is_eligible =
+            |ip: &&IpAddr| !self.is_unavailable(Source::Peer(**ip));
+        let eligible = self.order.iter().filter(is_eligible);
+        self.origin_owners =
+            eligible.take(MAX_ORIGIN_OWNERS).copied().collect();
+        self.update_trees();
     }
 
-    /// Works out anew which agents hand chunks on in the own data centre:
-    /// those that are not slow, and do not fetch for all.
-    fn grow_trees(&mut self) {
-        let here = self.of(&self.data_centre);
-        let inner: Vec<IpAddr> = here
+    /// Recomputes which agents forward chunks in the own data centre: those
+    /// that are not slow and do not fetch from the origin.
+    fn update_trees(&mut self) {
+        let local_agents = self.agents_in(&self.data_centre);
+        let inner: Vec<IpAddr> = local_agents
             .filter(|peer| !peer.is_slow)
             .map(|peer| peer.ip)
-            .filter(|ip| !self.owners_of_all.contains(ip))
+            .filter(|ip| !self.origin_owners.contains(ip))
             .collect();
         let is_same =
             self.trees.as_ref().is_some_and(|trees| trees.inner() == inner);
@@ -149,31 +156,32 @@
         }
     }
 
-    /// The place of this agent among all, and their count. Neighbours in the
-    /// order stand in different data centres, so that no data centre changes
-    /// over at once.
+    /// Returns the position of this agent among all agents, and their number.
+    /// Neighbours in the order are in different data centres, so that no data
+    /// centre changes over all its targets at once.
     pub fn rank(&self) -> (usize, usize) {
         let rank = self.order.iter().position(|ip| *ip == self.own_ip);
         (rank.unwrap_or(0), self.order.len().max(1))
     }
 
-    /// Agents among which the origin's connections are shared: all, or in a
-    /// large data centre those that bring chunks in, and as many drawn ones.
-    pub fn origin_askers(&self) -> usize {
+    /// Returns the number of agents that share the origin's connections: all
+    /// agents, or with trees the owners and as many agents selected for direct
+    /// retries.
+    pub fn origin_clients(&self) -> usize {
         match self.trees {
-            Some(_) => ORIGIN_OWNERS_MOST + STRAIGHT_MOST,
+            Some(_) => MAX_ORIGIN_OWNERS + MAX_DIRECT_AGENTS,
             None => self.order.len().max(1),
         }
     }
 
-    /// All agents, neighbours in different data centres.
-    fn in_turn(&self) -> Vec<IpAddr> {
+    /// All agents, ordered so that neighbours are in different data centres.
+    fn interleaved_by_data_centre(&self) -> Vec<IpAddr> {
         let mut order: Vec<(usize, &Name, IpAddr)> = self
             .peers
             .iter()
             .map(|peer| {
                 let place = self
-                    .of(&peer.data_centre)
+                    .agents_in(&peer.data_centre)
                     .position(|other| other.ip == peer.ip)
                     .unwrap_or(0);
                 (place, &peer.data_centre, peer.ip)
@@ -183,8 +191,8 @@
         order.into_iter().map(|(.., ip)| ip).collect()
     }
 
-    /// Whether a source is known to be gone or slow.
-    pub fn is_lost(&self, source: Source) -> bool {
+    /// Returns whether a source is slow or missing from the list of agents.
+    pub fn is_unavailable(&self, source: Source) -> bool {
         match source {
             Source::Origin => false,
             Source::Peer(ip) => {
@@ -194,7 +202,8 @@
         }
     }
 
-    /// Whether a source is known to hold a whole version: it answers at once.
+    /// Returns whether a source is known to hold the whole version and can
+    /// answer immediately.
     pub fn holds(&self, source: Source, version: u64) -> bool {
         match source {
             Source::Origin => false,
@@ -205,8 +214,8 @@
         }
     }
 
-    /// Who is asked for an item of a version after `failures` lost tries, by
-    /// a question that has passed `hops` agents.
+    /// Selects the source of an item after `failures` failed tries, for a
+    /// request that has passed `hops` agents.
     pub fn pick(
         &self,
         version: u64,
@@ -218,81 +227,87 @@
             Item::Manifest => version as usize,
             Item::Chunk(index) => index as usize,
         };
-        // Whoever could not answer in time has the item soon after.
-        let is_straight = failures % STRAIGHT_EVERY == STRAIGHT_EVERY - 1
-            && self.may_go_straight(key, failures);
+        // A source that did not answer in time probably has the item soon
+        // after, so it is tried again before another one is selected.
+        let is_direct = failures % DIRECT_TRY_INTERVAL
+            == DIRECT_TRY_INTERVAL - 1
+            && self.may_go_to_origin(key, failures);
         let failures = failures / TRIES_PER_SOURCE;
-        let most_hops = match self.trees {
-            Some(_) => MOST_TREE_HOPS,
-            None => MOST_HOPS,
+        let max_hops = match self.trees {
+            Some(_) => MAX_TREE_HOPS,
+            None => MAX_HOPS,
         };
-        if hops >= most_hops || is_straight {
+        if hops >= max_hops || is_direct {
             return Source::Origin;
         }
-        let turn = key + self.own_place() + failures as usize;
-        let here = self.of(&self.data_centre);
-        if let Some(peer) = self.holder(here, version, turn) {
+        let rotation = key + self.own_index() + failures as usize;
+        let local_agents = self.agents_in(&self.data_centre);
+        if let Some(peer) = self.holder(local_agents, version, rotation) {
             return Source::Peer(peer);
         }
-        // Nobody else may be asked by the one whom the others ask in the end,
-        // also after tries that were lost: each would wait for the other. Four
-        // chunks of 64 were missing when an origin went, for that alone.
-        if self.owner_of_all(key) == Some(self.own_ip) {
-            return self.pick_far(version, key, 0);
+        // The last agent to which the others turn must not request the item
+        // from one of them, not even after failed tries: each would wait for
+        // the other. Otherwise, when the origin became unreachable, 4 chunks
+        // of 64 stayed missing for that reason alone.
+        if self.origin_owner(key) == Some(self.own_ip) {
+            return self.pick_remote(version, key, 0);
         }
         if let Some(trees) = &self.trees {
-            // Lost tries go up the tree and begin anew: whoever asked all
-            // owners in turn would wait for agents that wait for it.
+            // Failed tries go up the tree and then start at the parent again.
+            // Trying all owners in turn could request from agents that wait
+            // for this one.
             return match trees.ancestor(key, failures as usize) {
                 Some(ip) => Source::Peer(ip),
-                None => self.pick_far(version, key, 0),
+                None => self.pick_remote(version, key, 0),
             };
         }
-        let owner_here =
+        let local_owner =
             self.owner(&self.data_centre, key + failures as usize);
-        match owner_here {
+        match local_owner {
             Some(owner) if owner != self.own_ip && hops == 0 => {
                 Source::Peer(owner)
             }
-            _ => self.pick_far(version, key, failures),
+            _ => self.pick_remote(version, key, failures),
         }
     }
 
-    /// Whether a lost try may go to the origin past everybody else: in a large
-    /// data centre only those drawn for it, about [`STRAIGHT_MOST`] of all
-    /// agents. While the origin was away, 204 agents sent it one of eight
-    /// tries each, and when it came back it sent 34 copies and served nobody.
-    fn may_go_straight(&self, key: usize, failures: u32) -> bool {
+    /// Returns whether a retry may go directly to the origin. In a large data
+    /// centre only pseudo-randomly selected agents may, about
+    /// [`MAX_DIRECT_AGENTS`] of all. If 204 agents sent one of eight tries
+    /// each to an unreachable origin, on its return it would send 34 copies
+    /// and serve nobody in time.
+    fn may_go_to_origin(&self, key: usize, failures: u32) -> bool {
         let Some(trees) = &self.trees else { return true };
-        let drawn = trees.draw(key + failures as usize) % self.order.len();
-        drawn < STRAIGHT_MOST
+        let drawn =
+            trees.pseudo_random(key + failures as usize) % self.order.len();
+        drawn < MAX_DIRECT_AGENTS
     }
 
-    /// Whether this agent is the one that brings a chunk of a version in from
-    /// the origin: nobody else holds it yet.
-    pub fn brings_in(&self, version: u64, item: Item) -> bool {
+    /// Returns whether this agent fetches an item from the origin, because it
+    /// is the item's owner and no agent holds the version yet.
+    pub fn is_origin_owner(&self, version: u64, item: Item) -> bool {
         self.pick(version, item, 0, 0) == Source::Origin
     }
 
-    /// Who is asked if nobody in the own data centre can be.
-    fn pick_far(&self, version: u64, key: usize, failures: u32) -> Source {
-        let turn = key + failures as usize;
-        if let Some(peer) = self.holder(self.peers.iter(), version, turn) {
+    /// Selects a source outside the own data centre.
+    fn pick_remote(&self, version: u64, key: usize, failures: u32) -> Source {
+        let rotation = key + failures as usize;
+        if let Some(peer) = self.holder(self.peers.iter(), version, rotation) {
             return Source::Peer(peer);
         }
-        match self.owner_of_all(turn) {
+        match self.origin_owner(rotation) {
             Some(owner) if owner != self.own_ip => Source::Peer(owner),
             _ => Source::Origin,
         }
     }
 
-    /// The agent that is asked at its `turn` among those that hold a version
-    /// and are not slow.
+    /// Selects, by `rotation`, an agent among those that hold a version and
+    /// are not slow.
     fn holder<'a>(
         &self,
         peers: impl Iterator<Item = &'a Peer>,
         version: u64,
-        turn: usize,
+        rotation: usize,
     ) -> Option<IpAddr> {
         let holders: Vec<IpAddr> = peers
             .filter(|peer| {
@@ -302,37 +317,38 @@
             })
             .map(|peer| peer.ip)
             .collect();
-        let place = turn.checked_rem(holders.len())?;
+        let place = rotation.checked_rem(holders.len())?;
         Some(holders[place])
     }
 
-    /// The agent of a data centre that brings an item in.
+    /// Returns the agent of a data centre that owns an item there.
     fn owner(&self, data_centre: &Name, key: usize) -> Option<IpAddr> {
-        let able = || self.of(data_centre).filter(|peer| !peer.is_slow);
-        let count = able().count();
+        let eligible =
+            || self.agents_in(data_centre).filter(|peer| !peer.is_slow);
+        let count = eligible().count();
         let place = key.checked_rem(count)?;
-        able().nth(place).map(|peer| peer.ip)
+        eligible().nth(place).map(|peer| peer.ip)
     }
 
-    /// The agent that brings an item in from the origin: one of a few, which
-    /// stand in different data centres in turn.
+    /// Returns the agent that fetches an item from the origin: one of a few,
+    /// interleaved across data centres.
     ///
-    /// Whoever fetches at the same time shares the origin's link, so that
-    /// with many every chunk comes late and all come at once. Of 45 agents
-    /// each waited 1.2 s for its first chunk, about as long as others waited
-    /// for it before they asked the origin themselves.
-    fn owner_of_all(&self, key: usize) -> Option<IpAddr> {
-        let owners = &self.owners_of_all;
+    /// Agents that fetch at the same time share the origin's link, so with
+    /// many of them every chunk arrives late and all at once. Each of 45
+    /// agents waited 1.2 s for its first chunk, about as long as other agents
+    /// wait for it before they ask the origin themselves.
+    fn origin_owner(&self, key: usize) -> Option<IpAddr> {
+        let owners = &self.origin_owners;
         let place = key.checked_rem(owners.len())?;
         Some(owners[place])
     }
 
-    fn own_place(&self) -> usize {
+    fn own_index(&self) -> usize {
         self.peers.iter().position(|peer| peer.ip == self.own_ip).unwrap_or(0)
     }
 
-    /// The agents of a data centre.
-    fn of<'a>(
+    /// Iterates over the agents of a data centre.
+    fn agents_in<'a>(
         &'a self,
         data_centre: &'a Name,
     ) -> impl Iterator<Item = &'a Peer> {
--- a/crates/raildale/src/fleet/agent/peer_connections.rs
+++ b/crates/raildale/src/fleet/agent/peer_connections.rs
@@ -154,7 +154,7 @@
                 if reply.chunk.is_some() {
                     let now = now_ms();
                     let from = address.ip();
-                    queue_delay.borrow_mut().note(now, from, reply.sent_ms);
+                    queue_delay.borrow_mut().record(now, from, reply.sent_ms);
                     framed.send(slice_ack_frame()).await?;
                 }
                 if let Some((request, reply)) = assemble(pending, reply) {
--- a/crates/raildale/src/fleet/agent/reports.rs
+++ b/crates/raildale/src/fleet/agent/reports.rs
@@ -100,7 +100,7 @@
 
     /// Returns the queueing delay of incoming data, in milliseconds.
     pub fn queue_ms(&self) -> u64 {
-        self.queue_delay.borrow().ms(now_ms())
+        self.queue_delay.borrow().estimate_ms(now_ms())
     }
 
     /// Requests a briefing from the entry hosts at `seeds` until one with a
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -138,6 +138,11 @@
         let item = ask.chunk.map_or(Item::Manifest, Item::Chunk);
         let ItemRequest { version, hops, .. } = ask;
         // The main loop, which receives events, only ends with the process.
-        let _ = self.events.send(Event::Asked { ticket, version, item, hops });
+        let _ = self.events.send(Event::ItemRequested {
+            ticket,
+            version,
+            item,
+            hops,
+        });
     }
 }
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -175,7 +175,7 @@
 
     /// Returns the time until the next poll of the target, in milliseconds.
     fn poll_interval_ms(&self) -> u32 {
-        match self.swarm.is_calm() {
+        match self.swarm.is_settled() {
             true => IDLE_POLL_INTERVAL_MS,
             false => BUSY_POLL_INTERVAL_MS,
         }
@@ -247,9 +247,11 @@
                     }
                 }
             }
-            Effect::AskStart => match self.service_info.health_path() {
+            Effect::QueryStart => match self.service_info.health_path() {
                 Some(path) => self.calls.query_start(path),
-                None => self.send_event(Event::Start(TargetStart::Untold)),
+                None => {
+                    self.send_event(Event::TargetStart(TargetStart::Untold))
+                }
             },
             Effect::Stage { version, chunks } => {
                 match self.model_or_warn("stage chunks") {
@@ -342,7 +344,7 @@
     SwarmConfig {
         ip: file.node.ip,
         data_centre: Name::from(file.node.data_centre.as_str()),
-        parallel: MAX_PARALLEL_TRANSFERS,
+        max_transfers: MAX_PARALLEL_TRANSFERS,
         swap: SwapConfig {
             bound_ms: file.bounds.version_ms,
             ..SwapConfig::default()
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -8,7 +8,7 @@
 
 use raildale_core::{
     fleet_message::{Digest, DigestTarget, Note, Report},
-    members::relays::DIGEST_EVERY,
+    members::relays::HEARTBEATS_PER_DIGEST,
 };
 use tokio::net::UdpSocket;
 
@@ -20,9 +20,9 @@
 };
 
 /// The time between two digests of a relay, in milliseconds, as announced to
-/// the receivers: [`DIGEST_EVERY`] heartbeats.
-const DIGEST_EVERY_MS: u32 =
-    peers::HEARTBEAT_INTERVAL.as_millis() as u32 * DIGEST_EVERY as u32;
+/// the receivers: [`HEARTBEATS_PER_DIGEST`] heartbeats.
+const DIGEST_EVERY_MS: u32 = peers::HEARTBEAT_INTERVAL.as_millis() as u32
+    * HEARTBEATS_PER_DIGEST as u32;
 
 /// Sends a digest after heartbeat number `beat` if this entry host is a relay
 /// and due to send one.
@@ -34,9 +34,9 @@
         return;
     }
     let now = now_ms();
-    let place = host.members.borrow().relay_place(now, host.is_ready());
+    let place = host.members.borrow().relay_index(now, host.is_ready());
     let Some(place) = place else { return };
-    if beat % DIGEST_EVERY != place as u64 % DIGEST_EVERY {
+    if beat % HEARTBEATS_PER_DIGEST != place as u64 % HEARTBEATS_PER_DIGEST {
         return;
     }
     let Some(digest) = digest(host) else { return };
@@ -63,7 +63,7 @@
         entry_hosts: members.digest_entry_hosts(now),
         targets: heard_targets(host),
         sent_ms: now,
-        echoes: members.ways().echoes(now),
+        echoes: members.round_trips().echoes(now),
         round_trip_ms: 0,
     })
 }
@@ -99,7 +99,7 @@
         .is_some_and(|hello| hello.data_centre == host.node.data_centre);
     let is_first_hand = from == relay_ip && !is_near;
     if is_first_hand {
-        digest.round_trip_ms = host.members.borrow_mut().ways().note(
+        digest.round_trip_ms = host.members.borrow_mut().round_trips().record(
             now_ms(),
             digest.relay_ip,
             digest.sent_ms,
@@ -123,7 +123,7 @@
         peers::record_hello(host, relay_ip, hello);
     }
     for entry in &digest.entry_hosts {
-        host.members.borrow_mut().heard_of(now, entry);
+        host.members.borrow_mut().on_digest_entry(now, entry);
     }
     let mut gateway = host.gateway.borrow_mut();
     for target in &digest.targets {
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -126,7 +126,7 @@
     host.handle_peer_versions(hello.versions, hello.versions_heard_age_ms);
     host.handle_peer_suspects(hello.suspects);
     host.handle_peer_notices(ip, hello.notices);
-    host.members.borrow_mut().heard(now_ms(), entry, heartbeat)
+    host.members.borrow_mut().on_heartbeat(now_ms(), entry, heartbeat)
 }
 
 fn handle_report<P>(host: &EntryHost<P>, from: SocketAddr, report: Report)
@@ -208,7 +208,7 @@
     P: Dialect + Store + 'static,
 {
     let now = now_ms();
-    let members = host.members.borrow_mut().changes(now);
+    let members = host.members.borrow_mut().take_changes(now);
     for (ip, is_up) in members {
         let event =
             if is_up { LogEvent::MemberUp } else { LogEvent::MemberDown };
@@ -254,7 +254,7 @@
 fn heartbeat_recipients<P>(host: &EntryHost<P>) -> Vec<IpAddr> {
     let members = host.members.borrow();
     let mut recipients: Vec<IpAddr> = members.neighbours().collect();
-    if !members.is_large() || members.hears_nobody(now_ms()) {
+    if !members.is_large() || members.is_isolated(now_ms()) {
         let seeds = host.node.seed_entry_hosts().map(|seed| seed.ip());
         recipients.extend(seeds.filter(|ip| *ip != host.node.ip));
     }
@@ -344,7 +344,8 @@
         }
         let own = host.known.extent(kind);
         let draw = rand::random_range(0..usize::from(u16::MAX));
-        let ahead = host.members.borrow_mut().ahead(now_ms(), kind, own, draw);
+        let ahead =
+            host.members.borrow_mut().find_ahead(now_ms(), kind, own, draw);
         if let Some(ip) = ahead {
             host.set_fetching(kind, true);
             tokio::task::spawn_local(snapshots::fetch_and_apply(
