--- a/crates/raildale/src/fleet/entry/callers.rs
+++ b/crates/raildale/src/fleet/entry/callers.rs
@@ -82,7 +82,7 @@
     P: Dialect + Store + 'static,
 {
     let limits = host.limits();
-    let idle = IdleTimer::new();
+    let idle = IdleTimer::started();
     let mut closing = host.closing.subscribe();
     let service = service_fn(|request| {
         answer_caller(host.clone(), request, idle.clone())
--- a/crates/raildale/src/fleet/entry/idle.rs
+++ b/crates/raildale/src/fleet/entry/idle.rs
@@ -24,7 +24,7 @@
 
 impl IdleTimer {
     /// Creates a timer for a connection that is idle from now on.
-    pub fn new() -> IdleTimer {
+    pub fn started() -> IdleTimer {
         IdleTimer { since_ms: Rc::new(Cell::new(Some(now_ms()))) }
     }
 
