--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -31,7 +31,7 @@
     origin::Origin,
     pacer::Pacer,
     settings_text,
-    signals::{Signals, Told},
+    signals::{SignalEvent, Signals},
     target::Target,
     trace::Span,
 };
@@ -179,18 +179,18 @@
                 Some(arrival) = self.arrivals_rx.recv() => {
                     self.on_arrival(arrival, Source::Origin);
                 }
-                told = signals.next() => self.on_told(told),
+                signal = signals.next() => self.on_signal(signal),
             }
         }
         self.end_links().await;
         logs::event(&self.process, LogEvent::Stopped, "agent");
     }
 
-    fn on_told(&mut self, told: Told) {
-        match told {
-            Told::Stop => self.reduce(Event::Leave),
+    fn on_signal(&mut self, signal: SignalEvent) {
+        match signal {
+            SignalEvent::Stop => self.reduce(Event::Leave),
             // What the file holds for a process only a start takes over.
-            Told::SettingsChanged => self
+            SignalEvent::SettingsChanged => self
                 .log(LogEvent::Reloaded, "nothing to take over while running"),
         }
     }
--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -32,7 +32,7 @@
     platform::Platform,
     settings_text,
     settings_watch::{self, Reading},
-    signals::{Signals, Told},
+    signals::{SignalEvent, Signals},
     status::Status,
 };
 
@@ -211,15 +211,15 @@
             Some(reading) = self.readings_rx.recv() => {
                 self.on_reading(reading);
             }
-            told = self.signals.next() => self.on_told(told),
+            signal = self.signals.next() => self.on_signal(signal),
         }
     }
 
-    fn on_told(&mut self, told: Told) {
-        match told {
-            Told::Stop => self.reduce(Event::Leave),
+    fn on_signal(&mut self, signal: SignalEvent) {
+        match signal {
+            SignalEvent::Stop => self.reduce(Event::Leave),
             // What the file holds for a process only a start takes over.
-            Told::SettingsChanged => self
+            SignalEvent::SettingsChanged => self
                 .log(LogEvent::Reloaded, "nothing to take over while running"),
         }
     }
--- a/crates/raildale/src/fleet/agent/mod.rs
+++ b/crates/raildale/src/fleet/agent/mod.rs
@@ -28,7 +28,7 @@
 };
 use crate::{
     error::Error,
-    signals::{Signals, Told},
+    signals::{SignalEvent, Signals},
 };
 
 /// Runs an agent until it receives the signal to stop.
@@ -54,11 +54,11 @@
             signal = signals.next() => signal,
         };
         match signal {
-            Told::Stop => {
+            SignalEvent::Stop => {
                 log::info!("stopped");
                 return Ok(());
             }
-            Told::SettingsChanged => {
+            SignalEvent::SettingsChanged => {
                 log::info!("no setting takes effect while running")
             }
         }
--- a/crates/raildale/src/fleet/entry/mod.rs
+++ b/crates/raildale/src/fleet/entry/mod.rs
@@ -50,7 +50,7 @@
 };
 use crate::{
     error::Error,
-    signals::{Signals, Told},
+    signals::{SignalEvent, Signals},
 };
 
 pub use self::host::EntryHost;
@@ -88,7 +88,7 @@
     store_watch::start(&host);
     delays::start(&host);
     host.log_start();
-    while signals.next().await == Told::SettingsChanged {
+    while signals.next().await == SignalEvent::SettingsChanged {
         host.log_reload();
     }
     host.leave().await;
--- a/crates/raildale/src/signals.rs
+++ b/crates/raildale/src/signals.rs
@@ -6,7 +6,7 @@
 
 /// What a signal says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum SignalEvent {
     /// To stop.
     Stop,
     /// That the settings file has changed.
@@ -39,11 +39,11 @@
     }
 
     /// The next one.
-    pub async fn next(&mut self) -> Told {
+    pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
-            _ = self.terminate.recv() => Told::Stop,
-            _ = self.interrupt.recv() => Told::Stop,
-            _ = self.hang_up.recv() => Told::SettingsChanged,
+            _ = self.terminate.recv() => SignalEvent::Stop,
+            _ = self.interrupt.recv() => SignalEvent::Stop,
+            _ = self.hang_up.recv() => SignalEvent::SettingsChanged,
         }
     }
 }
