--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -24,7 +24,7 @@
     error::Error,
     http_api::{self, Api},
     http_client::HttpClient,
-    http_server::Ending,
+    http_server::Shutdown,
     link::{self, LinkEvent, LinkHandle, Links, Side},
     logs,
     metrics::Metrics,
@@ -113,7 +113,7 @@
     metrics: Arc<Metrics>,
     signals: Signals,
     tick: Interval,
-    http_ending: Arc<Ending>,
+    http_ending: Arc<Shutdown>,
     is_done: bool,
 }
 
@@ -159,7 +159,7 @@
             replies: HashMap::new(),
             signals,
             tick: ticking(),
-            http_ending: Arc::new(Ending::new()),
+            http_ending: Arc::new(Shutdown::new()),
             is_done: false,
         }
     }
--- a/crates/raildale/src/http_api/mod.rs
+++ b/crates/raildale/src/http_api/mod.rs
@@ -31,7 +31,7 @@
 use crate::{
     clock::Clock,
     entry_daemon::{GONE, Input, Reply},
-    http_server::{self, Ending},
+    http_server::{self, Shutdown},
     metrics::Metrics,
     platform::Platform,
     request_body,
@@ -140,7 +140,7 @@
 }
 
 /// Serves callers and operators until it is ended.
-pub async fn serve(listener: TcpListener, api: Api, ending: Arc<Ending>) {
+pub async fn serve(listener: TcpListener, api: Api, ending: Arc<Shutdown>) {
     http_server::serve(listener, router(api), &ending).await
 }
 
--- a/crates/raildale/src/http_server.rs
+++ b/crates/raildale/src/http_server.rs
@@ -26,15 +26,15 @@
 
 /// What ends a server and its connections.
 #[derive(Debug)]
-pub struct Ending {
+pub struct Shutdown {
     /// Every connection listens to it for as long as it is open.
     is_ending: watch::Sender<bool>,
 }
 
-impl Ending {
+impl Shutdown {
     /// Ends nothing yet.
-    pub fn new() -> Ending {
-        Ending { is_ending: watch::Sender::new(false) }
+    pub fn new() -> Shutdown {
+        Shutdown { is_ending: watch::Sender::new(false) }
     }
 
     /// Ends each connection once its answer in progress is written, and
@@ -48,14 +48,14 @@
     }
 }
 
-impl Default for Ending {
-    fn default() -> Ending {
-        Ending::new()
+impl Default for Shutdown {
+    fn default() -> Shutdown {
+        Shutdown::new()
     }
 }
 
 /// Serves a router on a listener, without TLS, until it is ended.
-pub async fn serve<H>(listener: TcpListener, handler: H, ending: &Ending)
+pub async fn serve<H>(listener: TcpListener, handler: H, ending: &Shutdown)
 where
     H: NewHandler + UnwindSafe + RefUnwindSafe + 'static,
 {
--- a/crates/raildale/src/metrics_page.rs
+++ b/crates/raildale/src/metrics_page.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    http_server::{self, Ending},
+    http_server::{self, Shutdown},
     metrics::Metrics,
 };
 
@@ -31,7 +31,7 @@
     tokio::spawn(async move {
         match TcpListener::bind(address).await {
             Ok(listener) => {
-                let ending = Ending::new();
+                let ending = Shutdown::new();
                 http_server::serve(listener, router, &ending).await;
             }
             Err(error) => log::error!("metrics on {address}: {error}"),
