--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -202,8 +202,10 @@
         self.peers.clear();
         let (entries, peers) = (&self.entry_links, &self.peers_links);
         let ended = async {
-            let (entries, peers) =
-                tokio::join!(entries.end(SILENCE), peers.end(SILENCE));
+            let (entries, peers) = tokio::join!(
+                entries.shut_down(SILENCE),
+                peers.shut_down(SILENCE)
+            );
             entries + peers
         };
         let open = link::discarding(&mut self.links_rx, ended).await;
--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -228,7 +228,7 @@
     /// still ask meanwhile is answered.
     async fn end_connections(&mut self) {
         let ending = self.http_ending.clone();
-        let mut ended = std::pin::pin!(ending.end(LAST_ANSWERS));
+        let mut ended = std::pin::pin!(ending.shut_down(LAST_ANSWERS));
         loop {
             tokio::select! {
                 open = &mut ended => {
@@ -248,7 +248,7 @@
         self.agents.clear();
         self.entries.clear();
         self.met.clear();
-        let ended = self.links.end(SILENCE);
+        let ended = self.links.shut_down(SILENCE);
         let open = link::discarding(&mut self.links_rx, ended).await;
         if open > 0 {
             log::warn!("{open} connections to processes are still open");
--- a/crates/raildale/src/http_server.rs
+++ b/crates/raildale/src/http_server.rs
@@ -39,7 +39,7 @@
 
     /// Ends each connection once its answer in progress is written, and
     /// waits for them for `most`; returns how many are still open.
-    pub async fn end(&self, most: Duration) -> usize {
+    pub async fn shut_down(&self, most: Duration) -> usize {
         self.is_ending.send_replace(true);
         match tokio::time::timeout(most, self.is_ending.closed()).await {
             Ok(()) => 0,
--- a/crates/raildale/src/link.rs
+++ b/crates/raildale/src/link.rs
@@ -127,7 +127,7 @@
     /// Waits for `most` until every connection has written what was sent
     /// over it and is closed; returns how many are still open. Connections
     /// whose handles are kept stay open.
-    pub async fn end(&self, most: Duration) -> usize {
+    pub async fn shut_down(&self, most: Duration) -> usize {
         self.ending.send_replace(true);
         match tokio::time::timeout(most, self.ending.closed()).await {
             Ok(()) => 0,
