--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -208,7 +208,8 @@
             );
             entries + peers
         };
-        let open = link::discarding(&mut self.links_rx, ended).await;
+        let open =
+            link::discard_events_during(&mut self.links_rx, ended).await;
         if open > 0 {
             log::warn!("{open} connections to processes are still open");
         }
--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -249,7 +249,8 @@
         self.entries.clear();
         self.met.clear();
         let ended = self.links.shut_down(SILENCE);
-        let open = link::discarding(&mut self.links_rx, ended).await;
+        let open =
+            link::discard_events_during(&mut self.links_rx, ended).await;
         if open > 0 {
             log::warn!("{open} connections to processes are still open");
         }
--- a/crates/raildale/src/link.rs
+++ b/crates/raildale/src/link.rs
@@ -303,7 +303,7 @@
 
 /// Waits for `ended`; what connections tell meanwhile, with the handles of
 /// those that have just come up, is dropped.
-pub async fn discarding<T>(
+pub async fn discard_events_during<T>(
     events: &mut mpsc::UnboundedReceiver<LinkEvent>,
     ended: impl Future<Output = T>,
 ) -> T {
