--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -119,7 +119,7 @@
                 accepted_silence: None,
                 process: process.clone(),
                 events: links_tx.clone(),
-                ending: watch::Sender::new(false),
+                shutdown: watch::Sender::new(false),
             })
         };
         let http = HttpClient::new(Some(file.node.listen.ip()));
--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -133,7 +133,7 @@
             accepted_silence: Some(SILENCE),
             process: process.clone(),
             events: links_tx,
-            ending: watch::Sender::new(false),
+            shutdown: watch::Sender::new(false),
         });
         let http = HttpClient::new(Some(file.node.listen.ip()));
         let config = entry_config(&file, key, clock);
--- a/crates/raildale/src/link.rs
+++ b/crates/raildale/src/link.rs
@@ -120,7 +120,7 @@
     pub events: mpsc::UnboundedSender<LinkEvent>,
     /// Set once no connection is to come up any more; every connection
     /// listens to it for as long as it is open.
-    pub ending: watch::Sender<bool>,
+    pub shutdown: watch::Sender<bool>,
 }
 
 impl Links {
@@ -128,10 +128,10 @@
     /// over it and is closed; returns how many are still open. Connections
     /// whose handles are kept stay open.
     pub async fn shut_down(&self, most: Duration) -> usize {
-        self.ending.send_replace(true);
-        match tokio::time::timeout(most, self.ending.closed()).await {
+        self.shutdown.send_replace(true);
+        match tokio::time::timeout(most, self.shutdown.closed()).await {
             Ok(()) => 0,
-            Err(_) => self.ending.receiver_count(),
+            Err(_) => self.shutdown.receiver_count(),
         }
     }
 
@@ -220,8 +220,8 @@
         side: Side,
         frames: greeting::Frames,
     ) {
-        let ending = self.ending.subscribe();
-        if *ending.borrow() {
+        let shutdown = self.shutdown.subscribe();
+        if *shutdown.borrow() {
             return;
         }
         let name: Name = peer.name.as_str().into();
