--- a/crates/raildale/src/link.rs
+++ b/crates/raildale/src/link.rs
@@ -111,9 +111,9 @@
     pub pacer: Option<Pacer>,
     /// Silence after which a dialled connection counts as dead; none where
     /// the other side has nothing to say, or chunks have their deadlines.
-    pub dialled_silence: Option<Duration>,
+    pub dialled_idle_timeout: Option<Duration>,
     /// The same for an accepted one.
-    pub accepted_silence: Option<Duration>,
+    pub accepted_idle_timeout: Option<Duration>,
     /// The process's name, for logs.
     pub process: Arc<str>,
     /// Where events go.
@@ -238,8 +238,8 @@
             name.clone(),
             side,
             match side {
-                Side::Dialled => self.dialled_silence,
-                Side::Accepted => self.accepted_silence,
+                Side::Dialled => self.dialled_idle_timeout,
+                Side::Accepted => self.accepted_idle_timeout,
             },
             self.process.clone(),
             self.events.clone(),
