--- a/crates/raildale/src/http_client.rs
+++ b/crates/raildale/src/http_client.rs
@@ -15,7 +15,7 @@
 use crate::running_timeout::running_timeout;
 
 /// Connections to one peer that are kept at most.
-pub const KEPT_MOST: usize = 64;
+pub const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// How long a kept connection rests at most.
 pub const REST_MOST: Duration = Duration::from_secs(20);
@@ -51,7 +51,7 @@
 impl HttpClient {
     /// A client whose connections leave from `bind_ip`, if there is one.
     pub fn new(bind_ip: Option<std::net::IpAddr>) -> HttpClient {
-        HttpClient::with_kept(bind_ip, KEPT_MOST, REST_MOST)
+        HttpClient::with_kept(bind_ip, MAX_IDLE_CONNECTIONS, REST_MOST)
     }
 
     /// A client that keeps `kept` connections to a peer at most, and none
