--- a/crates/raildale/src/http_client.rs
+++ b/crates/raildale/src/http_client.rs
@@ -18,7 +18,7 @@
 pub const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// How long a kept connection rests at most.
-pub const REST_MOST: Duration = Duration::from_secs(20);
+pub const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
 
 /// Why an answer did not come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 impl HttpClient {
     /// A client whose connections leave from `bind_ip`, if there is one.
     pub fn new(bind_ip: Option<std::net::IpAddr>) -> HttpClient {
-        HttpClient::with_kept(bind_ip, MAX_IDLE_CONNECTIONS, REST_MOST)
+        HttpClient::with_kept(bind_ip, MAX_IDLE_CONNECTIONS, MAX_IDLE_TIME)
     }
 
     /// A client that keeps `kept` connections to a peer at most, and none
