--- a/crates/raildale/src/http_client.rs
+++ b/crates/raildale/src/http_client.rs
@@ -51,12 +51,16 @@
 impl HttpClient {
     /// A client whose connections leave from `bind_ip`, if there is one.
     pub fn new(bind_ip: Option<std::net::IpAddr>) -> HttpClient {
-        HttpClient::with_kept(bind_ip, MAX_IDLE_CONNECTIONS, MAX_IDLE_TIME)
+        HttpClient::with_pool_limits(
+            bind_ip,
+            MAX_IDLE_CONNECTIONS,
+            MAX_IDLE_TIME,
+        )
     }
 
     /// A client that keeps `kept` connections to a peer at most, and none
     /// that has rested for longer than `rest`.
-    pub fn with_kept(
+    pub fn with_pool_limits(
         bind_ip: Option<std::net::IpAddr>,
         kept: usize,
         rest: Duration,
