--- a/crates/raildale/src/http_api/admin.rs
+++ b/crates/raildale/src/http_api/admin.rs
@@ -22,7 +22,7 @@
 use super::{Api, NamePath, answers, api_of, body_of, key_hash};
 use crate::{
     entry_daemon::Reply,
-    platform::{Called, SETTINGS_KEY, StoredSettings},
+    platform::{CallResult, SETTINGS_KEY, StoredSettings},
     settings_text,
     settings_write::{self, Change},
     status::Status,
@@ -174,7 +174,7 @@
             answers::coded(Code::Forbidden, "")
         }
         Ok(_) => match api.platform.read(SETTINGS_KEY).await {
-            Called::Answered(object) => {
+            CallResult::Answered(object) => {
                 let stored: StoredSettings =
                     serde_json::from_value(object.value).unwrap_or_default();
                 let value = json!({
--- a/crates/raildale/src/platform.rs
+++ b/crates/raildale/src/platform.rs
@@ -81,7 +81,7 @@
 
 /// What a call came to.
 #[derive(Clone, Debug)]
-pub enum Called<T> {
+pub enum CallResult<T> {
     /// The platform answered.
     Answered(T),
     /// The condition of an update did not hold.
@@ -109,12 +109,12 @@
     }
 
     /// Reads an object.
-    pub async fn read(&self, key: &str) -> Called<Object> {
+    pub async fn read(&self, key: &str) -> CallResult<Object> {
         self.get(&format!("/objects/{key}"), CALL_TIMEOUT).await
     }
 
     /// Waits until an object's version is above `after`, for a while.
-    pub async fn watch(&self, key: &str, after: u64) -> Called<Object> {
+    pub async fn watch(&self, key: &str, after: u64) -> CallResult<Object> {
         let path = format!("/objects/{key}?after={after}&wait_ms={WATCH_MS}");
         let timeout = CALL_TIMEOUT + Duration::from_millis(WATCH_MS);
         self.get(&path, timeout).await
@@ -126,7 +126,7 @@
         key: &str,
         expected: u64,
         value: &serde_json::Value,
-    ) -> Called<u64> {
+    ) -> CallResult<u64> {
         self.budget.wait().await;
         let path = format!("/objects/{key}?if_version={expected}");
         let body = Bytes::from(value.to_string());
@@ -144,18 +144,18 @@
         match answer {
             Ok(answer) if answer.status == StatusCode::OK => {
                 match serde_json::from_slice::<Object>(&answer.body) {
-                    Ok(object) => Called::Answered(object.version),
-                    Err(_) => Called::Lost,
+                    Ok(object) => CallResult::Answered(object.version),
+                    Err(_) => CallResult::Lost,
                 }
             }
             Ok(answer) if answer.status == StatusCode::CONFLICT => {
-                Called::Conflict
+                CallResult::Conflict
             }
-            _ => Called::Lost,
+            _ => CallResult::Lost,
         }
     }
 
-    async fn get(&self, path: &str, timeout: Duration) -> Called<Object> {
+    async fn get(&self, path: &str, timeout: Duration) -> CallResult<Object> {
         self.budget.wait().await;
         let answer = self
             .http
@@ -171,11 +171,11 @@
         match answer {
             Ok(answer) if answer.status == StatusCode::OK => {
                 match serde_json::from_slice(&answer.body) {
-                    Ok(object) => Called::Answered(object),
-                    Err(_) => Called::Lost,
+                    Ok(object) => CallResult::Answered(object),
+                    Err(_) => CallResult::Lost,
                 }
             }
-            _ => Called::Lost,
+            _ => CallResult::Lost,
         }
     }
 }
--- a/crates/raildale/src/settings_watch.rs
+++ b/crates/raildale/src/settings_watch.rs
@@ -5,7 +5,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::platform::{
-    Called, Object, Platform, SETTINGS_KEY, StoredSettings,
+    CallResult, Object, Platform, SETTINGS_KEY, StoredSettings,
 };
 
 /// Pauses after a call without an answer: the first, and the longest.
@@ -94,8 +94,8 @@
         self.take(called).await;
     }
 
-    async fn take(&mut self, called: Called<Object>) -> bool {
-        let Called::Answered(object) = called else {
+    async fn take(&mut self, called: CallResult<Object>) -> bool {
+        let CallResult::Answered(object) = called else {
             if !self.is_down {
                 self.is_down = true;
                 let _ = self.readings.send(Reading::Down);
--- a/crates/raildale/src/settings_write.rs
+++ b/crates/raildale/src/settings_write.rs
@@ -8,7 +8,8 @@
 
 use crate::{
     platform::{
-        Called, Change as PastChange, Platform, SETTINGS_KEY, StoredSettings,
+        CallResult, Change as PastChange, Platform, SETTINGS_KEY,
+        StoredSettings,
     },
     settings_text,
 };
@@ -59,7 +60,7 @@
     loop {
         let reply = match step {
             Step::Read => match platform.read(SETTINGS_KEY).await {
-                Called::Answered(object) => {
+                CallResult::Answered(object) => {
                     standing = serde_json::from_value(object.value)
                         .unwrap_or_default();
                     version = object.version;
@@ -78,11 +79,11 @@
                 let next = successor(&standing, &change, base);
                 let value = serde_json::to_value(&next).unwrap_or_default();
                 match platform.update(SETTINGS_KEY, version, &value).await {
-                    Called::Answered(version) => {
+                    CallResult::Answered(version) => {
                         Reply::Written { revision: next.revision(version) }
                     }
-                    Called::Conflict => Reply::Conflict,
-                    Called::Lost => Reply::Lost,
+                    CallResult::Conflict => Reply::Conflict,
+                    CallResult::Lost => Reply::Lost,
                 }
             }
             Step::Finished(outcome) => {
