--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -31,7 +31,7 @@
     origin::Origin,
     platform::Platform,
     settings_text,
-    settings_watch::{self, Reading},
+    settings_watch::{self, WatchEvent},
     signals::{SignalEvent, Signals},
     status::Status,
 };
@@ -98,8 +98,8 @@
     links_rx: mpsc::UnboundedReceiver<LinkEvent>,
     inputs_tx: mpsc::UnboundedSender<Input>,
     inputs_rx: mpsc::UnboundedReceiver<Input>,
-    readings_tx: mpsc::UnboundedSender<Reading>,
-    readings_rx: mpsc::UnboundedReceiver<Reading>,
+    watch_tx: mpsc::UnboundedSender<WatchEvent>,
+    watch_rx: mpsc::UnboundedReceiver<WatchEvent>,
     watching: watch::Sender<bool>,
     agents: HashMap<Name, LinkHandle>,
     entries: HashMap<Name, LinkHandle>,
@@ -122,7 +122,7 @@
         let process: Arc<str> = file.node.name.as_str().into();
         let (links_tx, links_rx) = mpsc::unbounded_channel();
         let (inputs_tx, inputs_rx) = mpsc::unbounded_channel();
-        let (readings_tx, readings_rx) = mpsc::unbounded_channel();
+        let (watch_tx, watch_rx) = mpsc::unbounded_channel();
         let key = ClusterKey::new(&file.node.cluster_key);
         let links = Arc::new(Links {
             identity: identity(&file, clock),
@@ -149,8 +149,8 @@
             links_rx,
             inputs_tx,
             inputs_rx,
-            readings_tx,
-            readings_rx,
+            watch_tx,
+            watch_rx,
             watching: watch::Sender::new(false),
             agents: HashMap::new(),
             entries: HashMap::new(),
@@ -175,7 +175,7 @@
         settings_watch::start(
             self.platform.clone(),
             self.watching.subscribe(),
-            self.readings_tx.clone(),
+            self.watch_tx.clone(),
         );
         let api = Api::new(
             self.inputs_tx.clone(),
@@ -208,8 +208,8 @@
             }
             Some(input) = self.inputs_rx.recv() => self.on_input(input),
             Some(event) = self.links_rx.recv() => self.on_link(event),
-            Some(reading) = self.readings_rx.recv() => {
-                self.on_reading(reading);
+            Some(event) = self.watch_rx.recv() => {
+                self.on_watch_event(event);
             }
             signal = self.signals.next() => self.on_signal(signal),
         }
@@ -341,13 +341,13 @@
         }
     }
 
-    fn on_reading(&mut self, reading: Reading) {
-        match reading {
-            Reading::Settings { revision, text } => {
+    fn on_watch_event(&mut self, event: WatchEvent) {
+        match event {
+            WatchEvent::Settings { revision, text } => {
                 self.on_settings(revision, &text);
             }
-            Reading::Down => self.log(LogEvent::PlatformDown, ""),
-            Reading::Back => self.log(LogEvent::PlatformBack, ""),
+            WatchEvent::Down => self.log(LogEvent::PlatformDown, ""),
+            WatchEvent::Back => self.log(LogEvent::PlatformBack, ""),
         }
     }
 
--- a/crates/raildale/src/settings_watch.rs
+++ b/crates/raildale/src/settings_watch.rs
@@ -14,7 +14,7 @@
 
 /// What the platform gave.
 #[derive(Debug)]
-pub enum Reading {
+pub enum WatchEvent {
     /// Settings, perhaps older than those in force: a read may be stale.
     Settings {
         /// Their revision.
@@ -33,10 +33,10 @@
 pub fn start(
     platform: Platform,
     mut watching: watch::Receiver<bool>,
-    readings: mpsc::UnboundedSender<Reading>,
+    events: mpsc::UnboundedSender<WatchEvent>,
 ) {
     tokio::spawn(async move {
-        let mut watcher = Watcher::new(platform, readings);
+        let mut watcher = Watcher::new(platform, events);
         while !watcher.read_once().await {}
         loop {
             if !*watching.borrow_and_update() {
@@ -59,7 +59,7 @@
 
 struct Watcher {
     platform: Platform,
-    readings: mpsc::UnboundedSender<Reading>,
+    events: mpsc::UnboundedSender<WatchEvent>,
     seen: u64,
     pause: Duration,
     is_down: bool,
@@ -68,15 +68,9 @@
 impl Watcher {
     fn new(
         platform: Platform,
-        readings: mpsc::UnboundedSender<Reading>,
+        events: mpsc::UnboundedSender<WatchEvent>,
     ) -> Watcher {
-        Watcher {
-            platform,
-            readings,
-            seen: 0,
-            pause: BACKOFF.0,
-            is_down: false,
-        }
+        Watcher { platform, events, seen: 0, pause: BACKOFF.0, is_down: false }
     }
 
     async fn read_once(&mut self) -> bool {
@@ -98,7 +92,7 @@
         let CallResult::Answered(object) = called else {
             if !self.is_down {
                 self.is_down = true;
-                let _ = self.readings.send(Reading::Down);
+                let _ = self.events.send(WatchEvent::Down);
             }
             let jitter = rand::random_range(0..=self.pause.as_millis() as u64);
             tokio::time::sleep(Duration::from_millis(jitter)).await;
@@ -107,7 +101,7 @@
         };
         if self.is_down {
             self.is_down = false;
-            let _ = self.readings.send(Reading::Back);
+            let _ = self.events.send(WatchEvent::Back);
         }
         self.pause = BACKOFF.0;
         // A version below the last one is an old answer, or the platform was
@@ -124,7 +118,7 @@
         let stored = serde_json::from_value::<StoredSettings>(object.value);
         let stored = stored.unwrap_or_default();
         let revision = stored.revision(object.version);
-        let reading = Reading::Settings { revision, text: stored.text };
-        let _ = self.readings.send(reading);
+        let event = WatchEvent::Settings { revision, text: stored.text };
+        let _ = self.events.send(event);
     }
 }
