--- a/crates/raildale/src/settings_write.rs
+++ b/crates/raildale/src/settings_write.rs
@@ -38,7 +38,7 @@
 
 /// How a change ended.
 #[derive(Clone, Debug)]
-pub struct Written {
+pub struct WriteResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The revision at which the change is in; 0 if it is not.
@@ -52,7 +52,7 @@
 }
 
 /// Writes a change once, although answers get lost.
-pub async fn write(platform: &Platform, change: Change) -> Written {
+pub async fn write(platform: &Platform, change: Change) -> WriteResult {
     let mut writer = Writer::new(change.operation.clone(), change.expected);
     let mut standing = StoredSettings::default();
     let mut version = 0;
@@ -129,14 +129,14 @@
     outcome: Outcome,
     change: Change,
     standing: StoredSettings,
-) -> Written {
+) -> WriteResult {
     let is_conflict = outcome == Outcome::Conflict;
     let revision = match outcome {
         Outcome::Accepted { revision } => revision,
         _ => 0,
     };
     let difference = settings_text::difference(&standing.text, &change.text);
-    Written {
+    WriteResult {
         outcome,
         revision,
         operation: change.operation,
