--- a/crates/raildale-testkit/tests/bad_input.rs
+++ b/crates/raildale-testkit/tests/bad_input.rs
@@ -164,7 +164,7 @@
 /// of its refusal.
 async fn speak(address: SocketAddr, frames: Vec<Bytes>) -> Option<u32> {
     let stream = TcpStream::connect(address).await.expect("it listens");
-    let mut framed = Framed::new(stream, codec::splitter());
+    let mut framed = Framed::new(stream, codec::frame_codec());
     for frame in frames {
         framed.send(frame).await.expect("it reads");
     }
--- a/crates/raildale/src/codec.rs
+++ b/crates/raildale/src/codec.rs
@@ -14,7 +14,7 @@
 pub const LENGTH_BYTES: usize = 4;
 
 /// The splitter of a connection's bytes into frames.
-pub fn splitter() -> LengthDelimitedCodec {
+pub fn frame_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(LENGTH_BYTES)
         .max_frame_length(MAX_FRAME_BYTES)
--- a/crates/raildale/src/fleet/agent/peer_connections.rs
+++ b/crates/raildale/src/fleet/agent/peer_connections.rs
@@ -98,7 +98,7 @@
     let mut pending: HashMap<u64, PendingRequest> = HashMap::new();
     match frames::connect(address).await {
         Ok(stream) => {
-            let framed = Framed::new(stream, codec::splitter());
+            let framed = Framed::new(stream, codec::frame_codec());
             let ended = exchange(
                 address,
                 framed,
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -100,7 +100,7 @@
         answers: &Answers,
         window: &SliceWindow,
     ) {
-        let mut requests = FramedRead::new(read, codec::splitter());
+        let mut requests = FramedRead::new(read, codec::frame_codec());
         while let Some(frame) = requests.next().await {
             let body = frame
                 .map_err(Error::from)
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -96,7 +96,7 @@
 where
     P: Dialect + Store + 'static,
 {
-    let mut framed = Framed::new(&mut stream, codec::splitter());
+    let mut framed = Framed::new(&mut stream, codec::frame_codec());
     let kind = match next_body(&mut framed).await? {
         FleetBody::SnapshotRequest(ask) => Kind::from_number(ask.kind)
             .ok_or(Error::new(ErrorKind::Frame, "unknown kind of object"))?,
@@ -205,7 +205,7 @@
     kind: Kind,
 ) -> Result<SnapshotResponse, Error> {
     let stream = frames::connect(from).await?;
-    let mut framed = Framed::new(stream, codec::splitter());
+    let mut framed = Framed::new(stream, codec::frame_codec());
     let ask =
         FleetBody::SnapshotRequest(SnapshotRequest { kind: kind.number() });
     framed.send(frames::encode_body(ask)).await?;
--- a/crates/raildale/src/link.rs
+++ b/crates/raildale/src/link.rs
@@ -184,7 +184,7 @@
             return false;
         };
         let _ = stream.set_nodelay(true);
-        let mut frames = Framed::new(stream, codec::splitter());
+        let mut frames = Framed::new(stream, codec::frame_codec());
         let greeted =
             greeting::dial(&mut frames, &self.identity, &self.key).await;
         match greeted {
@@ -202,7 +202,7 @@
 
     async fn welcome(self: Arc<Links>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut frames = Framed::new(stream, codec::splitter());
+        let mut frames = Framed::new(stream, codec::frame_codec());
         let greeted =
             greeting::accept(&mut frames, &self.identity, &self.key).await;
         match greeted {
@@ -231,7 +231,7 @@
         // what was read ahead moves over.
         let parts = frames.into_parts();
         let (read, write) = parts.io.into_split();
-        let mut reader = FramedRead::new(read, codec::splitter());
+        let mut reader = FramedRead::new(read, codec::frame_codec());
         reader.read_buffer_mut().extend_from_slice(&parts.read_buf);
         let task = tokio::spawn(read_all(
             reader,
