--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -496,4 +496,4 @@
 }
 
 /// The code of an answer that the shell itself gives when it is going down.
-pub(crate) const GONE: Code = Code::Unknown;
+pub(crate) const SHUTDOWN_CODE: Code = Code::Unknown;
--- a/crates/raildale/src/http_api/mod.rs
+++ b/crates/raildale/src/http_api/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::{
     clock::Clock,
-    entry_daemon::{GONE, Input, Reply},
+    entry_daemon::{Input, Reply, SHUTDOWN_CODE},
     http_server::{self, Shutdown},
     metrics::Metrics,
     platform::Platform,
@@ -124,7 +124,9 @@
             // The process stops; what it knew is gone with it.
             None => {
                 self.is_over = true;
-                Reply::Last(raildale_core::entry::FinalResponse::new(GONE))
+                Reply::Last(raildale_core::entry::FinalResponse::new(
+                    SHUTDOWN_CODE,
+                ))
             }
         }
     }
