--- a/crates/raildale/src/http_api/admin.rs
+++ b/crates/raildale/src/http_api/admin.rs
@@ -230,7 +230,7 @@
     let response = match asker(&api, &state, &status) {
         Err(code) => answers::coded(code, ""),
         Ok(asker) => {
-            status.hide_others(asker.organisation.as_deref());
+            status.restrict_to(asker.organisation.as_deref());
             status.settings_text.clear();
             let value = serde_json::to_value(&status).unwrap_or_default();
             answers::answer(200, &value)
--- a/crates/raildale/src/status.rs
+++ b/crates/raildale/src/status.rs
@@ -66,7 +66,7 @@
 impl Status {
     /// Leaves out models that are not `organisation`'s, so that an operator
     /// of one organisation cannot tell another's from absent ones.
-    pub fn hide_others(&mut self, organisation: Option<&str>) {
+    pub fn restrict_to(&mut self, organisation: Option<&str>) {
         let Some(own) = organisation else { return };
         let prefix = format!("{own}/");
         for host in &mut self.hosts {
