--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -332,7 +332,7 @@
             let bytes = data.len() as u64;
             self.metrics.add("chunk_bytes_total", label, bytes);
         }
-        let digest = data.map(|data| self.store.arrive(data));
+        let digest = data.map(|data| self.store.insert_unverified(data));
         self.reduce(Event::ChunkArrived { manifest, index, source, digest });
     }
 
--- a/crates/raildale/src/chunk_store.rs
+++ b/crates/raildale/src/chunk_store.rs
@@ -24,7 +24,7 @@
     }
 
     /// Takes bytes in, unjudged, and returns their digest.
-    pub fn arrive(&mut self, data: Bytes) -> Digest {
+    pub fn insert_unverified(&mut self, data: Bytes) -> Digest {
         let digest = Digest::of(&data);
         self.arrived.insert(digest, data);
         digest
