--- a/crates/raildale/src/error.rs
+++ b/crates/raildale/src/error.rs
@@ -20,7 +20,7 @@
     /// the settings do not check
     Settings,
     /// the peer was refused
-    Greeting,
+    Handshake,
     /// the frame is malformed
     Frame,
     /// the peer speaks another protocol version
@@ -61,7 +61,7 @@
         match self.kind {
             ErrorKind::Config | ErrorKind::Io => Code::ConfigInvalid,
             ErrorKind::Settings => Code::SettingsInvalid,
-            ErrorKind::Greeting => Code::ForeignCluster,
+            ErrorKind::Handshake => Code::ForeignCluster,
             ErrorKind::Frame => Code::BadFrame,
             ErrorKind::Version => Code::ProtocolVersion,
             ErrorKind::Platform => Code::PlatformDown,
--- a/crates/raildale/src/greeting.rs
+++ b/crates/raildale/src/handshake.rs
@@ -26,13 +26,13 @@
 pub type Frames<S = TcpStream> = Framed<S, LengthDelimitedCodec>;
 
 /// How long a peer may take to greet.
-const GREETING_TIMEOUT: Duration = Duration::from_secs(3);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Greets as the side that dialled; returns who answered.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Greeting`] if the peer refused or does not hold the key.
+/// [`ErrorKind::Handshake`] if the peer refused or does not hold the key.
 pub async fn dial<S>(
     frames: &mut Frames<S>,
     identity: &Identity,
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Greeting`] if the peer does not hold the key;
+/// [`ErrorKind::Handshake`] if the peer does not hold the key;
 /// [`ErrorKind::Frame`] if it speaks otherwise. The peer is told the number.
 pub async fn accept<S>(
     frames: &mut Frames<S>,
@@ -71,11 +71,11 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let met = meet(frames, identity, key).await;
-    if let Err(error) = &met {
+    let accepted = handshake(frames, identity, key).await;
+    if let Err(error) = &accepted {
         refuse(frames, error.code()).await;
     }
-    met
+    accepted
 }
 
 /// Tells a peer why its connection closes.
@@ -89,7 +89,7 @@
     let _ = send(frames, Body::Refusal(refusal)).await;
 }
 
-async fn meet<S>(
+async fn handshake<S>(
     frames: &mut Frames<S>,
     identity: &Identity,
     key: &ClusterKey,
@@ -130,7 +130,7 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let frame = timeout(GREETING_TIMEOUT, frames.next())
+    let frame = timeout(HANDSHAKE_TIMEOUT, frames.next())
         .await
         .map_err(|_| refused("no greeting in time"))?
         .ok_or(refused("the connection closed"))?;
@@ -143,7 +143,7 @@
 }
 
 fn refused(detail: &str) -> Error {
-    Error::new(ErrorKind::Greeting, detail)
+    Error::new(ErrorKind::Handshake, detail)
 }
 
 fn nonce() -> Vec<u8> {
--- a/crates/raildale/src/lib.rs
+++ b/crates/raildale/src/lib.rs
@@ -40,7 +40,7 @@
 pub mod entry_daemon;
 pub mod error;
 pub mod fleet;
-pub mod greeting;
+pub mod handshake;
 pub mod http_api;
 pub mod http_client;
 pub mod http_server;
--- a/crates/raildale/src/link.rs
+++ b/crates/raildale/src/link.rs
@@ -22,7 +22,7 @@
 use tokio_util::codec::{Framed, FramedRead};
 
 use crate::{
-    codec, greeting, logs,
+    codec, handshake, logs,
     pacer::{Pacer, SLICE_BYTES},
 };
 
@@ -185,9 +185,9 @@
         };
         let _ = stream.set_nodelay(true);
         let mut frames = Framed::new(stream, codec::frame_codec());
-        let greeted =
-            greeting::dial(&mut frames, &self.identity, &self.key).await;
-        match greeted {
+        let result =
+            handshake::dial(&mut frames, &self.identity, &self.key).await;
+        match result {
             Ok(peer) => {
                 self.serve(peer, Side::Dialled, frames).await;
                 true
@@ -203,9 +203,9 @@
     async fn welcome(self: Arc<Links>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut frames = Framed::new(stream, codec::frame_codec());
-        let greeted =
-            greeting::accept(&mut frames, &self.identity, &self.key).await;
-        match greeted {
+        let result =
+            handshake::accept(&mut frames, &self.identity, &self.key).await;
+        match result {
             Ok(peer) => self.serve(peer, Side::Accepted, frames).await,
             Err(error) => {
                 let detail = error.to_string();
@@ -218,7 +218,7 @@
         &self,
         peer: Identity,
         side: Side,
-        frames: greeting::Frames,
+        frames: handshake::Frames,
     ) {
         let shutdown = self.shutdown.subscribe();
         if *shutdown.borrow() {
