--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -71,7 +71,7 @@
     /// A piece of a streamed answer.
     Piece(Vec<u8>),
     /// The last word.
-    Last(FinalResponse),
+    Final(FinalResponse),
 }
 
 /// Runs the entry host until it is told to leave and has nothing in progress.
@@ -416,7 +416,7 @@
         let label = format!("code=\"{}\"", last.code.number());
         self.metrics.add("answers_total", &label, 1);
         if let Some(reply) = self.replies.remove(&request) {
-            let _ = reply.send(Reply::Last(last));
+            let _ = reply.send(Reply::Final(last));
         }
     }
 
--- a/crates/raildale/src/http_api/admin.rs
+++ b/crates/raildale/src/http_api/admin.rs
@@ -259,7 +259,7 @@
             let mut call =
                 api.call(|request| Event::DrainAgent { request, agent });
             match call.next().await {
-                Reply::Last(last) => answers::last(&last),
+                Reply::Final(last) => answers::last(&last),
                 Reply::Piece(_) => answers::coded(Code::Unknown, ""),
             }
         }
--- a/crates/raildale/src/http_api/callers.rs
+++ b/crates/raildale/src/http_api/callers.rs
@@ -170,7 +170,7 @@
 
 async fn whole(mut call: Call) -> (Response<Body>, Code) {
     loop {
-        if let Reply::Last(last) = call.next().await {
+        if let Reply::Final(last) = call.next().await {
             return (answers::last(&last), last.code);
         }
     }
@@ -183,7 +183,7 @@
     let first = call.next().await;
     let data = match first {
         Reply::Piece(data) => data,
-        Reply::Last(last) => {
+        Reply::Final(last) => {
             finish(&api, span, start, last.code);
             return answers::last(&last);
         }
@@ -196,7 +196,7 @@
             Reply::Piece(data) => {
                 Some((line(&data), Some((call, api, span, start))))
             }
-            Reply::Last(last) => {
+            Reply::Final(last) => {
                 finish(&api, span, start, last.code);
                 let text = format!("{}\n", answers::last_value(&last));
                 Some((Ok(Frame::data(Bytes::from(text))), None))
--- a/crates/raildale/src/http_api/mod.rs
+++ b/crates/raildale/src/http_api/mod.rs
@@ -117,14 +117,14 @@
     async fn next(&mut self) -> Reply {
         match self.replies.recv().await {
             Some(Reply::Piece(data)) => Reply::Piece(data),
-            Some(Reply::Last(last)) => {
+            Some(Reply::Final(last)) => {
                 self.is_over = true;
-                Reply::Last(last)
+                Reply::Final(last)
             }
             // The process stops; what it knew is gone with it.
             None => {
                 self.is_over = true;
-                Reply::Last(raildale_core::entry::FinalResponse::new(
+                Reply::Final(raildale_core::entry::FinalResponse::new(
                     SHUTDOWN_CODE,
                 ))
             }
