--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -386,8 +386,8 @@
                 let target = self.target.clone();
                 let events = self.events_tx.clone();
                 tokio::spawn(async move {
-                    if let Some(serves) = target.serves().await {
-                        let _ = events.send(Event::TargetServes(serves));
+                    if let Some(served) = target.served_models().await {
+                        let _ = events.send(Event::TargetServes(served));
                     }
                 });
             }
--- a/crates/raildale/src/target.rs
+++ b/crates/raildale/src/target.rs
@@ -103,7 +103,7 @@
     }
 
     /// What the target says that it serves; none if it does not answer.
-    pub async fn serves(&self) -> Option<Vec<(Name, Digest)>> {
+    pub async fn served_models(&self) -> Option<Vec<(Name, Digest)>> {
         let answer = self
             .http
             .call(
