--- a/crates/raildale/src/http_api/admin.rs
+++ b/crates/raildale/src/http_api/admin.rs
@@ -75,7 +75,10 @@
         Ok(asker) => {
             let text = match &asker.organisation {
                 None => status.settings_text.clone(),
-                Some(own) => settings_text::part(&status.settings_text, own),
+                Some(own) => settings_text::organisation_part(
+                    &status.settings_text,
+                    own,
+                ),
             };
             let value = json!({ "revision": status.revision, "text": text });
             answers::answer(200, &value)
@@ -114,7 +117,11 @@
     let text = match &asker.organisation {
         None => text,
         Some(own) => {
-            match settings_text::with_part(&status.settings_text, own, &text) {
+            match settings_text::replace_organisation_part(
+                &status.settings_text,
+                own,
+                &text,
+            ) {
                 Ok(text) => text,
                 Err(error) => {
                     return answers::coded(Code::Forbidden, error.detail());
--- a/crates/raildale/src/settings_text.rs
+++ b/crates/raildale/src/settings_text.rs
@@ -30,7 +30,7 @@
 }
 
 /// The part of the text that belongs to one organisation.
-pub fn part(text: &str, organisation: &str) -> String {
+pub fn organisation_part(text: &str, organisation: &str) -> String {
     let Ok(table) = text.parse::<Table>() else { return String::new() };
     let own = table
         .get(ORGANISATIONS)
@@ -50,7 +50,7 @@
 ///
 /// [`ErrorKind::Settings`] if `part` holds anything but that organisation,
 /// or is no TOML.
-pub fn with_part(
+pub fn replace_organisation_part(
     text: &str,
     organisation: &str,
     part: &str,
