--- a/crates/raildale/src/config.rs
+++ b/crates/raildale/src/config.rs
@@ -1,6 +1,6 @@
 //! The settings file of a process: addresses, data centre, link rates.
 //!
-//! The tree of settings that operators share is something else; see
+//! The settings tree that operators share is separate; see
 //! [`crate::settings_text`].
 
 use std::{net::SocketAddr, path::Path};
@@ -9,32 +9,32 @@
 
 use crate::error::{Error, ErrorKind};
 
-/// What every process is told.
+/// Settings that every process has.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeConfig {
-    /// Its name, unique in the fleet.
+    /// The name of the process, unique in the fleet.
     pub name: String,
-    /// Its data centre.
+    /// The data centre of the process.
     pub data_centre: String,
-    /// Its region.
+    /// The region of the process.
     pub region: String,
-    /// Where it listens for other processes of the system.
+    /// The address to listen on for other processes of the fleet.
     pub listen: SocketAddr,
-    /// What it tells others to dial; `listen` if absent.
+    /// The address that other processes dial; `listen` if absent.
     pub advertise: Option<SocketAddr>,
-    /// The cluster's secret.
+    /// The secret shared by the processes of the cluster.
     pub cluster_key: String,
-    /// Addresses of entry hosts to begin with.
+    /// Addresses of entry hosts to dial at start.
     #[serde(default)]
     pub entries: Vec<SocketAddr>,
-    /// Threads of the process.
+    /// The number of threads of the async runtime.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Loudness of the log: `error`, `warn`, `info`, `debug`.
+    /// The log level: `error`, `warn`, `info`, `debug`.
     #[serde(default = "default_log")]
     pub log: String,
-    /// Whether a span for each hop is written, as JSON lines, with the log.
+    /// Whether a span for each hop is written to the log, as a JSON line.
     #[serde(default)]
     pub spans: bool,
 }
@@ -43,15 +43,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryFile {
-    /// What every process is told.
+    /// Settings that every process has.
     pub node: NodeConfig,
-    /// Where callers and operators reach it.
+    /// The HTTP API for callers and operators.
     pub http: HttpConfig,
     /// The platform's object API.
     pub platform: PlatformConfig,
     /// The origin of weights.
     pub origin: OriginConfig,
-    /// Bounds of spreads.
+    /// Limits on spreads.
     #[serde(default)]
     pub spread: SpreadConfig,
 }
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentFile {
-    /// What every process is told.
+    /// Settings that every process has.
     pub node: NodeConfig,
     /// The origin of weights.
     pub origin: OriginConfig,
@@ -68,19 +68,20 @@
     pub target: TargetConfig,
     /// The host's link.
     pub link: LinkConfig,
-    /// Where `/metrics` is served; nowhere if absent.
+    /// The address that serves `/metrics`; not served if absent.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Where callers and operators reach an entry host.
+/// The HTTP API of an entry host for callers and operators.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HttpConfig {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// What `where` answers; `listen` if absent.
+    /// The address that `/v1/where` returns for this entry host; `listen` if
+    /// absent.
     pub advertise: Option<SocketAddr>,
-    /// BLAKE3 of a key that may write the first settings, hexadecimal.
+    /// BLAKE3 hash of the key that may write the first settings, hexadecimal.
     pub bootstrap_key_hash: Option<String>,
 }
 
@@ -88,9 +89,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformConfig {
-    /// Where it listens.
+    /// The address of the object API.
     pub address: SocketAddr,
-    /// Calls a second of this process at most.
+    /// The maximum number of calls per second from this process.
     #[serde(default = "default_platform_calls")]
     pub calls_per_s: u32,
 }
@@ -99,26 +100,26 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OriginConfig {
-    /// Where it listens.
+    /// The address of the origin.
     pub address: SocketAddr,
-    /// Its data centre, whose agents bring chunks in.
+    /// The data centre of the origin, whose agents fetch chunks from it.
     #[serde(default)]
     pub data_centre: String,
 }
 
-/// Bounds of spreads.
+/// Limits on spreads.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpreadConfig {
-    /// Chunks that leave the origin at once.
+    /// The maximum number of chunks that leave the origin at once.
     pub origin_slots: usize,
-    /// Chunks that enter a data centre at once.
+    /// The maximum number of chunks that enter a data centre at once.
     pub crossing_slots: usize,
-    /// Neighbours of an agent at most.
+    /// The maximum number of neighbours of an agent.
     pub max_neighbours: usize,
-    /// How long joins are gathered before the first grant.
+    /// How long joins are collected before the first grant.
     pub gather_ms: u64,
-    /// A grant that is not reported by then is given to another agent.
+    /// Time after which an unreported grant is given to another agent.
     pub grant_timeout_ms: u64,
 }
 
@@ -138,11 +139,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetConfig {
-    /// Where it listens.
+    /// The address of the target.
     pub address: SocketAddr,
     /// The pool that the host belongs to.
     pub pool: String,
-    /// Runs that it takes at once.
+    /// The maximum number of concurrent runs.
     pub capacity: u32,
 }
 
@@ -150,29 +151,29 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkConfig {
-    /// What it carries.
+    /// The bandwidth of the link.
     pub bytes_per_s: u64,
-    /// Percent of it that spreads may use.
+    /// The percentage of the bandwidth that spreads may use.
     #[serde(default = "default_share")]
     pub spread_percent: u64,
-    /// Chunks that leave at once.
+    /// The maximum number of concurrent chunk uploads.
     #[serde(default = "default_slots")]
     pub upload_slots: usize,
-    /// Chunks that wait for a slot.
+    /// The maximum number of chunk uploads that wait for a slot.
     #[serde(default = "default_places")]
     pub upload_places: usize,
-    /// Chunks asked for at once, grants not counted.
+    /// The maximum number of outstanding chunk requests, grants not counted.
     #[serde(default = "default_window")]
     pub window: usize,
-    /// Bytes of a chunk, for deadlines.
+    /// The size of a chunk in bytes, from which deadlines are computed.
     #[serde(default = "default_chunk")]
     pub chunk_bytes: u64,
-    /// How chunks are found.
+    /// Where chunks are fetched from.
     #[serde(default)]
     pub scheme: SchemeName,
 }
 
-/// How chunks are found.
+/// Where chunks are fetched from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SchemeName {
@@ -184,7 +185,7 @@
 }
 
 impl NodeConfig {
-    /// What others dial.
+    /// Returns the address that other processes dial.
     pub fn address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
@@ -195,7 +196,7 @@
 /// # Errors
 ///
 /// [`ErrorKind::Config`], with the file, the line and, for an unknown name,
-/// the nearest known one.
+/// the most similar known name.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let file = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| {
@@ -206,7 +207,12 @@
     })
 }
 
-/// Parses TOML; the error names the line and the nearest known name.
+/// Parses TOML.
+///
+/// # Errors
+///
+/// A message with the line and, for an unknown name, the most similar known
+/// name.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, String> {
     toml::from_str(text).map_err(|error| {
         let line = error
@@ -223,18 +229,19 @@
     })
 }
 
-/// For "unknown field `x`, expected ... `a`, `b`": the nearest of the latter.
+/// Returns the most similar expected name from a message of the form "unknown
+/// field `x`, expected ... `a`, `b`"; `None` for other messages.
 fn nearest(message: &str) -> Option<&str> {
     let mut quoted = message.split('`').skip(1).step_by(2);
     if !message.starts_with("unknown") {
         return None;
     }
     let unknown = quoted.next()?;
-    quoted.min_by_key(|known| distance(unknown, known))
+    quoted.min_by_key(|known| edit_distance(unknown, known))
 }
 
-/// Levenshtein distance.
-fn distance(a: &str, b: &str) -> usize {
+/// Returns the Levenshtein edit_distance of two strings.
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, from) in a.chars().enumerate() {
