--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -1,6 +1,7 @@
-//! `raildale-agent`: the shell round the agent's reducer.
+//! `raildale-agent`: the I/O shell around the agent's reducer.
 //!
-//! It turns effects into I/O and I/O into events, and decides nothing.
+//! Turns effects into I/O and I/O into events. All decisions are made by the
+//! reducer.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -36,21 +37,21 @@
     trace::Span,
 };
 
-/// How often the reducer hears that time passed.
+/// Interval between the reducer's tick events.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Chunks handed to the target at once.
-const STAGING_AT_ONCE: usize = 4;
+/// The maximum number of chunks that are staged at the target at once.
+const MAX_CONCURRENT_STAGINGS: usize = 4;
 
-/// Silence after which the connection to an entry host counts as dead; entry
-/// hosts speak twice a second.
-const SILENCE: Duration = Duration::from_millis(2_500);
+/// Time without a message after which a connection to an entry host is
+/// closed. Entry hosts send two messages a second.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Runs the agent until it is told to leave and has nothing in progress.
+/// Runs the agent until it has been told to leave and no run is in progress.
 ///
 /// # Errors
 ///
-/// If its address cannot be listened on.
+/// [`crate::ErrorKind::Io`] if its address cannot be bound.
 pub async fn run(file: AgentFile, signals: Signals) -> Result<(), Error> {
     let clock = Clock::new();
     let listener = TcpListener::bind(file.node.listen).await?;
@@ -66,6 +67,7 @@
     dialling: Option<AbortHandle>,
     dialled: Option<LinkHandle>,
     accepted: Option<LinkHandle>,
+    /// Chunk requests to send once the dialled connection is up.
     waiting: Vec<Body>,
 }
 
@@ -74,7 +76,7 @@
     clock: Clock,
     process: Arc<str>,
     agent: Agent,
-    peers_links: Arc<Links>,
+    peer_links: Arc<Links>,
     entry_links: Arc<Links>,
     links_rx: mpsc::UnboundedReceiver<LinkEvent>,
     events_tx: mpsc::UnboundedSender<Event>,
@@ -82,7 +84,7 @@
     arrivals_tx: mpsc::UnboundedSender<Arrival>,
     arrivals_rx: mpsc::UnboundedReceiver<Arrival>,
     entries: HashMap<Name, LinkHandle>,
-    known_entries: HashMap<SocketAddr, AbortHandle>,
+    entry_dials: HashMap<SocketAddr, AbortHandle>,
     peers: HashMap<Name, PeerLinks>,
     store: ChunkStore,
     runs: HashMap<Name, (AbortHandle, Option<Span>)>,
@@ -93,7 +95,8 @@
     is_done: bool,
 }
 
-/// A chunk that the origin gave, or did not.
+/// The result of fetching a chunk from the origin or a peer; `data` is `None`
+/// if the fetch failed.
 struct Arrival {
     manifest: Digest,
     index: usize,
@@ -125,11 +128,11 @@
         let http = HttpClient::new(Some(file.node.listen.ip()));
         let agent = Agent::new(agent_config(&file, clock), clock.now_ms());
         Shell {
-            peers_links: links(None, Some(Pacer::new(spread_rate))),
-            entry_links: links(Some(SILENCE), None),
+            peer_links: links(None, Some(Pacer::new(spread_rate))),
+            entry_links: links(Some(IDLE_TIMEOUT), None),
             origin: Origin::new(http.clone(), file.origin.address),
             target: Target::new(http, file.target.address),
-            staging: Arc::new(Semaphore::new(STAGING_AT_ONCE)),
+            staging: Arc::new(Semaphore::new(MAX_CONCURRENT_STAGINGS)),
             metrics: Arc::new(Metrics::new()),
             file,
             clock,
@@ -141,7 +144,7 @@
             arrivals_tx,
             arrivals_rx,
             entries: HashMap::new(),
-            known_entries: HashMap::new(),
+            entry_dials: HashMap::new(),
             peers: HashMap::new(),
             store: ChunkStore::new(),
             runs: HashMap::new(),
@@ -150,10 +153,10 @@
     }
 
     fn start(&mut self, listener: TcpListener) {
-        tokio::spawn(self.peers_links.clone().accept_all(listener));
+        tokio::spawn(self.peer_links.clone().accept_all(listener));
         for address in self.file.node.entries.clone() {
             let task = self.entry_links.dial(address, true);
-            self.known_entries.insert(address, task);
+            self.entry_dials.insert(address, task);
         }
         if let Some(address) = self.file.metrics {
             metrics_page::start(address, self.metrics.clone());
@@ -167,7 +170,7 @@
         while !self.is_done {
             tokio::select! {
                 _ = tick.tick() => {
-                    self.observe();
+                    self.update_gauges();
                     self.reduce(Event::Tick);
                 }
                 Some(event) = self.events_rx.recv() => {
@@ -182,36 +185,38 @@
                 signal = signals.next() => self.on_signal(signal),
             }
         }
-        self.end_links().await;
+        self.close_links().await;
         logs::event(&self.process, LogEvent::Stopped, "agent");
     }
 
     fn on_signal(&mut self, signal: SignalEvent) {
         match signal {
             SignalEvent::Stop => self.reduce(Event::Leave),
-            // What the file holds for a process only a start takes over.
-            SignalEvent::SettingsChanged => self
-                .log(LogEvent::Reloaded, "nothing to take over while running"),
+            // The settings file is only read at start.
+            SignalEvent::SettingsChanged => self.log(
+                LogEvent::Reloaded,
+                "the settings file is only read at start",
+            ),
         }
     }
 
-    /// Ends the connections to processes, each once what was sent is
-    /// written.
-    async fn end_links(&mut self) {
+    /// Closes the connections to agents and entry hosts, each once its queued
+    /// messages are written.
+    async fn close_links(&mut self) {
         self.entries.clear();
         self.peers.clear();
-        let (entries, peers) = (&self.entry_links, &self.peers_links);
+        let (entries, peers) = (&self.entry_links, &self.peer_links);
         let ended = async {
             let (entries, peers) = tokio::join!(
-                entries.shut_down(SILENCE),
-                peers.shut_down(SILENCE)
+                entries.shut_down(IDLE_TIMEOUT),
+                peers.shut_down(IDLE_TIMEOUT)
             );
             entries + peers
         };
         let open =
             link::discard_events_during(&mut self.links_rx, ended).await;
         if open > 0 {
-            log::warn!("{open} connections to processes are still open");
+            log::warn!("{open} connections to other processes are still open");
         }
     }
 
@@ -257,7 +262,8 @@
         }
     }
 
-    /// A connection that was replaced by a newer one is not missed.
+    /// Handles the end of a connection. If a newer one has replaced it, the end
+    /// is only logged.
     fn link_down(&mut self, name: Name, side: Side, id: u64) {
         self.log(LogEvent::PeerDown, &format!("{name}, {side:?}"));
         let is_current = |link: &Option<LinkHandle>| {
@@ -405,15 +411,15 @@
     fn dial_entry(&mut self, entry: &PeerAddress) {
         let Ok(address) = entry.address.parse() else { return };
         let links = &self.entry_links;
-        let known = self.known_entries.get(&address);
+        let known = self.entry_dials.get(&address);
         if known.is_none_or(|task| task.is_finished()) {
-            self.known_entries.insert(address, links.dial(address, false));
+            self.entry_dials.insert(address, links.dial(address, false));
         }
     }
 
     fn dial_peer(&mut self, name: Name, address: &str) {
         let Ok(address) = address.parse() else { return };
-        let links = &self.peers_links;
+        let links = &self.peer_links;
         let peer = self.peers.entry(name).or_default();
         if peer.dialling.as_ref().is_none_or(|task| task.is_finished()) {
             peer.dialling = Some(links.dial(address, false));
@@ -431,7 +437,8 @@
         peer.waiting.clear();
     }
 
-    /// Messages for a peer that is being dialled wait, but for a few.
+    /// Sends a message to a peer. Until the peer is connected, chunk requests
+    /// are queued and all other messages are dropped.
     fn send_to_peer(&mut self, name: Name, body: Body) {
         let peer = self.peers.entry(name).or_default();
         match &peer.dialled {
@@ -439,7 +446,7 @@
             None if matches!(body, Body::ChunkRequest(_)) => {
                 peer.waiting.push(body);
             }
-            // Whoever comes up is told all that is held anyway.
+            // A peer that connects is told which chunks are held anyway.
             None => {}
         }
     }
@@ -492,10 +499,10 @@
         let events = self.events_tx.clone();
         let staging = self.staging.clone();
         tokio::spawn(async move {
-            let Ok(_turn) = staging.acquire().await else { return };
+            let Ok(_permit) = staging.acquire().await else { return };
             let taken = target.stage(manifest, index, data).await;
             if !taken {
-                // A target that is down is not asked in a tight loop.
+                // Avoids a tight retry loop while the target is down.
                 tokio::time::sleep(TICK * 10).await;
             }
             let _ =
@@ -519,7 +526,8 @@
         self.runs.insert(key, (task.abort_handle(), Some(span)));
     }
 
-    /// Dropping the exchange closes its connection, which tells the target.
+    /// Aborts a run. Dropping the exchange closes its connection, which tells
+    /// the target to stop.
     fn stop_run(&mut self, key: Name) {
         if let Some((task, _)) = self.runs.get(&key) {
             task.abort();
@@ -534,7 +542,7 @@
         logs::event(&self.process, event, detail);
     }
 
-    fn observe(&self) {
+    fn update_gauges(&self) {
         let running = self.agent.ledger().running() as u64;
         self.metrics.set("runs_in_progress", "", running);
         self.metrics.set("run_keys", "", self.agent.ledger().len() as u64);
--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -1,6 +1,7 @@
-//! `raildale-entry`: the shell round the entry host's reducer.
+//! `raildale-entry`: the I/O shell around the entry host's reducer.
 //!
-//! It turns effects into I/O and I/O into events, and decides nothing.
+//! Turns effects into I/O and I/O into events. All decisions are made by the
+//! reducer.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -36,49 +37,50 @@
     status::Status,
 };
 
-/// How often the reducer hears that time passed.
+/// Interval between the reducer's tick events.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Silence after which an accepted connection counts as dead; agents and
-/// entry hosts speak twice a second.
-const SILENCE: Duration = Duration::from_millis(2_500);
+/// Time without a message after which an accepted connection is closed.
+/// Agents and entry hosts send two messages a second.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long the last answers may take to be written: more than the pause of
-/// any caller that still wants its answer.
-const LAST_ANSWERS: Duration = Duration::from_secs(15);
+/// How long the last answers may take to be written during shutdown. Longer
+/// than any pause of a caller that still wants its answer.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What callers' and operators' handlers ask of the shell.
+/// A message from the HTTP handlers to the shell.
 #[derive(Debug)]
 pub enum Input {
-    /// An event whose answer goes to `reply`.
+    /// An event with a response.
     Call {
-        /// The request's number.
+        /// The request's number, unique in the process.
         request: u64,
-        /// What happened.
+        /// The event for the reducer.
         event: Event,
-        /// Where the answer goes.
+        /// Receives the parts of the response.
         reply: mpsc::UnboundedSender<Reply>,
     },
-    /// An event without an answer.
+    /// An event without a response.
     Tell(Event),
-    /// What the process knows, for operators.
+    /// A query for the status of the process.
     Status(oneshot::Sender<Box<Status>>),
 }
 
-/// A part of an answer.
+/// A part of the response to an [`Input::Call`].
 #[derive(Debug)]
 pub enum Reply {
     /// A piece of a streamed answer.
     Piece(Vec<u8>),
-    /// The last word.
+    /// The final response; nothing follows it.
     Final(FinalResponse),
 }
 
-/// Runs the entry host until it is told to leave and has nothing in progress.
+/// Runs the entry host until it has been told to leave and no request is in
+/// progress.
 ///
 /// # Errors
 ///
-/// If one of its addresses cannot be listened on.
+/// [`crate::ErrorKind::Io`] if one of its addresses cannot be bound.
 pub async fn run(file: EntryFile, signals: Signals) -> Result<(), Error> {
     let clock = Clock::new();
     let listener = TcpListener::bind(file.node.listen).await?;
@@ -103,9 +105,9 @@
     watching: watch::Sender<bool>,
     agents: HashMap<Name, LinkHandle>,
     entries: HashMap<Name, LinkHandle>,
-    /// Connections that other entry hosts dialled. Nothing is sent over them,
-    /// but a connection whose handle is dropped closes.
-    met: HashMap<Name, LinkHandle>,
+    /// Connections that other entry hosts dialled. Nothing is sent over them;
+    /// the handles are held because dropping one closes its connection.
+    accepted_entries: HashMap<Name, LinkHandle>,
     dialling: HashMap<SocketAddr, AbortHandle>,
     replies: HashMap<u64, mpsc::UnboundedSender<Reply>>,
     platform: Platform,
@@ -113,7 +115,7 @@
     metrics: Arc<Metrics>,
     signals: Signals,
     tick: Interval,
-    http_ending: Arc<Shutdown>,
+    http_shutdown: Arc<Shutdown>,
     is_done: bool,
 }
 
@@ -130,7 +132,7 @@
             bind_ip: file.node.listen.ip(),
             pacer: None,
             dialled_idle_timeout: None,
-            accepted_idle_timeout: Some(SILENCE),
+            accepted_idle_timeout: Some(IDLE_TIMEOUT),
             process: process.clone(),
             events: links_tx,
             shutdown: watch::Sender::new(false),
@@ -154,12 +156,12 @@
             watching: watch::Sender::new(false),
             agents: HashMap::new(),
             entries: HashMap::new(),
-            met: HashMap::new(),
+            accepted_entries: HashMap::new(),
             dialling: HashMap::new(),
             replies: HashMap::new(),
             signals,
-            tick: ticking(),
-            http_ending: Arc::new(Shutdown::new()),
+            tick: tick_interval(),
+            http_shutdown: Arc::new(Shutdown::new()),
             is_done: false,
         }
     }
@@ -186,8 +188,8 @@
             self.file.node.spans,
             self.clock,
         );
-        let ending = self.http_ending.clone();
-        tokio::spawn(http_api::serve(http, api, ending));
+        let shutdown = self.http_shutdown.clone();
+        tokio::spawn(http_api::serve(http, api, shutdown));
         logs::event(&self.process, LogEvent::Started, "entry host");
     }
 
@@ -195,15 +197,15 @@
         while !self.is_done {
             self.step().await;
         }
-        self.end_connections().await;
-        self.end_links().await;
+        self.close_connections().await;
+        self.close_links().await;
         logs::event(&self.process, LogEvent::Stopped, "entry host");
     }
 
     async fn step(&mut self) {
         tokio::select! {
             _ = self.tick.tick() => {
-                self.observe();
+                self.update_gauges();
                 self.reduce(Event::Tick);
             }
             Some(input) = self.inputs_rx.recv() => self.on_input(input),
@@ -218,22 +220,25 @@
     fn on_signal(&mut self, signal: SignalEvent) {
         match signal {
             SignalEvent::Stop => self.reduce(Event::Leave),
-            // What the file holds for a process only a start takes over.
-            SignalEvent::SettingsChanged => self
-                .log(LogEvent::Reloaded, "nothing to take over while running"),
+            // The settings file is only read at start.
+            SignalEvent::SettingsChanged => self.log(
+                LogEvent::Reloaded,
+                "the settings file is only read at start",
+            ),
         }
     }
 
-    /// Ends callers' connections, each once its answer is written; what they
-    /// still ask meanwhile is answered.
-    async fn end_connections(&mut self) {
-        let ending = self.http_ending.clone();
-        let mut ended = std::pin::pin!(ending.shut_down(LAST_ANSWERS));
+    /// Closes callers' connections, each once its answer is written. Requests
+    /// that arrive meanwhile are still answered.
+    async fn close_connections(&mut self) {
+        let shutdown = self.http_shutdown.clone();
+        let mut ended =
+            std::pin::pin!(shutdown.shut_down(LAST_ANSWERS_TIMEOUT));
         loop {
             tokio::select! {
                 open = &mut ended => {
                     if open > 0 {
-                        log::warn!("{open} connections are still open");
+                        log::warn!("{open} HTTP connections are still open");
                     }
                     return;
                 }
@@ -242,17 +247,17 @@
         }
     }
 
-    /// Ends the connections to processes, each once what was sent is
-    /// written.
-    async fn end_links(&mut self) {
+    /// Closes the connections to agents and entry hosts, each once its queued
+    /// messages are written.
+    async fn close_links(&mut self) {
         self.agents.clear();
         self.entries.clear();
-        self.met.clear();
-        let ended = self.links.shut_down(SILENCE);
+        self.accepted_entries.clear();
+        let ended = self.links.shut_down(IDLE_TIMEOUT);
         let open =
             link::discard_events_during(&mut self.links_rx, ended).await;
         if open > 0 {
-            log::warn!("{open} connections to processes are still open");
+            log::warn!("{open} connections to other processes are still open");
         }
     }
 
@@ -299,14 +304,14 @@
                 self.entries.insert(name, link);
                 self.reduce(Event::EntryUp(identity));
             }
-            // Whoever dials us may be new to us: then it is dialled back.
+            // The peer may not be known yet; the reducer then dials it back.
             (false, Side::Accepted) => {
-                self.met.insert(name.clone(), link);
-                let met = PeerAddress {
+                self.accepted_entries.insert(name.clone(), link);
+                let peer = PeerAddress {
                     name: identity.name,
                     address: identity.address,
                 };
-                let body = Body::Entries(Entries { entries: vec![met] });
+                let body = Body::Entries(Entries { entries: vec![peer] });
                 self.reduce(Event::FromEntry(name, body));
             }
         }
@@ -320,8 +325,8 @@
             self.agents.remove(&name);
             return self.reduce(Event::AgentDown(name));
         }
-        if is_current(self.met.get(&name)) {
-            self.met.remove(&name);
+        if is_current(self.accepted_entries.get(&name)) {
+            self.accepted_entries.remove(&name);
         }
         if side == Side::Dialled && is_current(self.entries.get(&name)) {
             self.entries.remove(&name);
@@ -391,7 +396,9 @@
                     let _ = reply.send(Reply::Piece(data));
                 }
             }
-            Effect::Finish(request, last) => self.finish(request, last),
+            Effect::Finish(request, response) => {
+                self.finish(request, response)
+            }
             Effect::ReadManifest { digest, origin_path } => {
                 self.read_manifest(digest, origin_path);
             }
@@ -412,11 +419,11 @@
         }
     }
 
-    fn finish(&mut self, request: u64, last: FinalResponse) {
-        let label = format!("code=\"{}\"", last.code.number());
+    fn finish(&mut self, request: u64, response: FinalResponse) {
+        let label = format!("code=\"{}\"", response.code.number());
         self.metrics.add("answers_total", &label, 1);
         if let Some(reply) = self.replies.remove(&request) {
-            let _ = reply.send(Reply::Final(last));
+            let _ = reply.send(Reply::Final(response));
         }
     }
 
@@ -436,7 +443,7 @@
         logs::event(&self.process, event, detail);
     }
 
-    fn observe(&self) {
+    fn update_gauges(&self) {
         let in_progress = self.entry.in_progress() as u64;
         self.metrics.set("requests_in_progress", "", in_progress);
         self.metrics.set("settings_revision", "", self.entry.revision());
@@ -444,7 +451,7 @@
     }
 }
 
-fn ticking() -> Interval {
+fn tick_interval() -> Interval {
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     tick
@@ -495,5 +502,5 @@
     }
 }
 
-/// The code of an answer that the shell itself gives when it is going down.
+/// The code of responses that are lost because the process stops.
 pub(crate) const SHUTDOWN_CODE: Code = Code::Unknown;
--- a/crates/raildale/src/link.rs
+++ b/crates/raildale/src/link.rs
@@ -26,27 +26,28 @@
     pacer::{Pacer, SLICE_BYTES},
 };
 
-/// Messages that may wait for a connection; beyond it the peer counts as
-/// stuck and the connection is dropped.
-const QUEUE: usize = 4_096;
+/// The maximum number of messages queued for a connection. If the queue is
+/// full, the peer is considered stuck and the connection is closed.
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 
-/// Pauses between tries to dial: the first, and the longest.
-const REDIAL: (Duration, Duration) =
+/// Delays between attempts to dial: the first and the longest.
+const REDIAL_DELAYS: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(1_000));
 
-/// Tries to dial an address that a message named, not the settings file.
+/// The maximum number of attempts in a row to dial an address that comes from
+/// a message rather than from the settings file.
 const MAX_REDIALS: u32 = 12;
 
-/// What a connection tells its process.
+/// An event of a connection.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// The greeting went well.
+    /// The handshake succeeded.
     Up(Identity, Side, LinkHandle),
-    /// A message came.
+    /// A message arrived from the peer.
     Message(Name, Side, Body),
-    /// The connection is gone.
+    /// The connection with this [`LinkHandle::id`] is closed.
     Down(Name, Side, u64),
-    /// A chunk has left.
+    /// A chunk was written to the connection, or the write failed.
     Sent(Name, Digest, usize),
 }
 
@@ -59,7 +60,7 @@
     Accepted,
 }
 
-/// What goes out.
+/// An item in a connection's send queue.
 #[derive(Debug)]
 enum Outgoing {
     Message(Body),
@@ -69,19 +70,20 @@
 /// The sending end of a connection.
 #[derive(Clone, Debug)]
 pub struct LinkHandle {
-    /// Tells this connection from an earlier one with the same peer.
+    /// Distinguishes this connection from earlier ones with the same peer.
     pub id: u64,
     queue: mpsc::Sender<Outgoing>,
     reader: AbortHandle,
 }
 
 impl LinkHandle {
-    /// Sends a message.
+    /// Queues a message; closes the connection if the queue is full.
     pub fn send(&self, body: Body) {
         self.push(Outgoing::Message(body));
     }
 
-    /// Sends a chunk at the spread's pace.
+    /// Queues a chunk, which is written at the rate of [`Links::pacer`].
+    /// Closes the connection if the queue is full.
     pub fn send_chunk(&self, manifest: Digest, index: usize, data: Bytes) {
         self.push(Outgoing::Chunk { manifest, index, data });
     }
@@ -98,87 +100,94 @@
     }
 }
 
-/// What all connections of a process share.
+/// State shared by the connections of a process.
 #[derive(Debug)]
 pub struct Links {
-    /// Who this process is.
+    /// The identity of this process.
     pub identity: Identity,
     /// The cluster's key.
     pub key: ClusterKey,
-    /// Where connections leave from.
+    /// The local address of dialled connections.
     pub bind_ip: IpAddr,
-    /// The pace of chunks; none at an entry host, which sends none.
+    /// Limits the rate of chunks; `None` where no chunks are sent.
     pub pacer: Option<Pacer>,
-    /// Silence after which a dialled connection counts as dead; none where
-    /// the other side has nothing to say, or chunks have their deadlines.
+    /// Time without a frame after which a dialled connection is closed.
+    /// `None` if the accepting side may stay silent or chunks have their own
+    /// deadlines.
     pub dialled_idle_timeout: Option<Duration>,
     /// The same for an accepted one.
     pub accepted_idle_timeout: Option<Duration>,
     /// The process's name, for logs.
     pub process: Arc<str>,
-    /// Where events go.
+    /// Receives the events of all connections.
     pub events: mpsc::UnboundedSender<LinkEvent>,
-    /// Set once no connection is to come up any more; every connection
-    /// listens to it for as long as it is open.
+    /// Set to `true` once no more connections may come up. Every open
+    /// connection holds a receiver.
     pub shutdown: watch::Sender<bool>,
 }
 
 impl Links {
-    /// Waits for `most` until every connection has written what was sent
-    /// over it and is closed; returns how many are still open. Connections
-    /// whose handles are kept stay open.
-    pub async fn shut_down(&self, most: Duration) -> usize {
+    /// Waits up to `limit` until every connection has written its queued
+    /// messages and is closed. Returns the number of connections still open.
+    /// A connection closes only once all its handles are dropped.
+    pub async fn shut_down(&self, limit: Duration) -> usize {
         self.shutdown.send_replace(true);
-        match tokio::time::timeout(most, self.shutdown.closed()).await {
+        match tokio::time::timeout(limit, self.shutdown.closed()).await {
             Ok(()) => 0,
             Err(_) => self.shutdown.receiver_count(),
         }
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections; never returns.
     pub async fn accept_all(self: Arc<Links>, listener: TcpListener) {
         loop {
-            // An error here is one connection's, or too many open files; the
-            // pause keeps the latter from spinning.
+            // The error concerns one connection, or the process has too many
+            // open files; the pause avoids a busy loop in the latter case.
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(REDIAL.0).await;
+                tokio::time::sleep(REDIAL_DELAYS.0).await;
                 continue;
             };
-            tokio::spawn(self.clone().welcome(stream));
+            tokio::spawn(self.clone().serve_accepted(stream));
         }
     }
 
-    /// Keeps a connection to `address`. With `for_ever`, also when it cannot
-    /// be had for long, as with addresses of the settings file.
+    /// Keeps a connection to `address` open. With `retry_forever`, meant for
+    /// addresses of the settings file, there is no limit on failed attempts.
+    /// Returns the handle of the dialling task.
     pub fn dial(
         self: &Arc<Links>,
         address: SocketAddr,
-        for_ever: bool,
+        retry_forever: bool,
     ) -> AbortHandle {
         let links = self.clone();
-        tokio::spawn(async move { links.redial(address, for_ever).await })
+        tokio::spawn(async move { links.redial(address, retry_forever).await })
             .abort_handle()
     }
 
-    async fn redial(self: Arc<Links>, address: SocketAddr, for_ever: bool) {
-        let mut pause = REDIAL.0;
-        let mut tries = 0;
+    async fn redial(
+        self: Arc<Links>,
+        address: SocketAddr,
+        retry_forever: bool,
+    ) {
+        let mut pause = REDIAL_DELAYS.0;
+        let mut attempts = 0;
         loop {
             if self.dial_once(address).await {
-                pause = REDIAL.0;
-                tries = 0;
+                pause = REDIAL_DELAYS.0;
+                attempts = 0;
             }
-            tries += 1;
-            if tries > MAX_REDIALS && !for_ever {
+            attempts += 1;
+            if attempts > MAX_REDIALS && !retry_forever {
                 return;
             }
             let jitter = rand::random_range(0..=pause.as_millis() as u64 / 2);
             tokio::time::sleep(pause + Duration::from_millis(jitter)).await;
-            pause = (pause * 2).min(REDIAL.1);
+            pause = (pause * 2).min(REDIAL_DELAYS.1);
         }
     }
 
-    /// Dials and serves the connection to its end; says whether it was up.
+    /// Dials and serves the connection until it closes. Returns whether the
+    /// handshake succeeded.
     async fn dial_once(&self, address: SocketAddr) -> bool {
         let Ok(stream) = connect(address, self.bind_ip).await else {
             return false;
@@ -200,7 +209,7 @@
         }
     }
 
-    async fn welcome(self: Arc<Links>, stream: TcpStream) {
+    async fn serve_accepted(self: Arc<Links>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut frames = Framed::new(stream, codec::frame_codec());
         let result =
@@ -226,9 +235,9 @@
         }
         let name: Name = peer.name.as_str().into();
         let id = rand::random();
-        let (queue, outgoing) = mpsc::channel(QUEUE);
-        // The greeting's last frame and the next may come in one read, so
-        // what was read ahead moves over.
+        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        // The handshake may have read bytes of later frames, so its read
+        // buffer is carried over.
         let parts = frames.into_parts();
         let (read, write) = parts.io.into_split();
         let mut reader = FramedRead::new(read, codec::frame_codec());
@@ -301,16 +310,16 @@
     }
 }
 
-/// Waits for `ended`; what connections tell meanwhile, with the handles of
-/// those that have just come up, is dropped.
+/// Waits for `future` and returns its output. Events that arrive meanwhile
+/// are dropped, with the handles of connections that have just come up.
 pub async fn discard_events_during<T>(
     events: &mut mpsc::UnboundedReceiver<LinkEvent>,
-    ended: impl Future<Output = T>,
+    future: impl Future<Output = T>,
 ) -> T {
-    let mut ended = std::pin::pin!(ended);
+    let mut future = std::pin::pin!(future);
     loop {
         tokio::select! {
-            ended = &mut ended => return ended,
+            output = &mut future => return output,
             Some(_) = events.recv() => {}
         }
     }
@@ -335,12 +344,12 @@
     >,
     peer: Name,
     side: Side,
-    silence: Option<Duration>,
+    idle_timeout: Option<Duration>,
     process: Arc<str>,
     events: mpsc::UnboundedSender<LinkEvent>,
 ) {
     loop {
-        let next = match silence {
+        let next = match idle_timeout {
             Some(limit) => {
                 match tokio::time::timeout(limit, reader.next()).await {
                     Ok(next) => next,
