--- a/crates/raildale/src/platform.rs
+++ b/crates/raildale/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API, as a client sees it.
+//! A client for the platform's object API.
 
 use std::{
     net::SocketAddr,
@@ -15,22 +15,22 @@
 
 use crate::{boot_time, config::PlatformConfig, http_client::HttpClient};
 
-/// The object that holds the settings tree.
+/// The key of the object that holds the settings tree.
 pub const SETTINGS_KEY: &str = "raildale-settings";
 
-/// How long a watch waits at the platform.
+/// How long the platform holds a watch without a change.
 const WATCH_MS: u64 = 10_000;
 
-/// How long a call may take.
+/// Time-out of a call; a watch may take [`WATCH_MS`] longer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of an answer at most: the limit on a value, and its frame.
-const MOST_BYTES: usize = 3 << 20;
+/// The maximum size of an answer in bytes: the largest value and its frame.
+const MAX_ANSWER_BYTES: usize = 3 << 20;
 
-/// An object as the platform holds it.
+/// An object stored at the platform.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Object {
-    /// Grows with each update; 0 if there is no object.
+    /// The version, which grows with each update; 0 if there is no object.
     pub version: u64,
     /// The value; null if there is no object.
     pub value: serde_json::Value,
@@ -39,28 +39,29 @@
 /// The value of the settings object.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct StoredSettings {
-    /// TOML.
+    /// The settings, TOML.
     pub text: String,
-    /// Who wrote it.
+    /// The name of the author.
     pub author: String,
-    /// Why.
+    /// The reason that the author gave.
     pub reason: String,
-    /// When, in milliseconds since the epoch.
+    /// The time of the write, in milliseconds since the epoch.
     pub time_ms: u64,
-    /// The operations that made this and earlier versions, newest last.
+    /// The ids of the operations that made this and earlier versions, newest
+    /// last.
     pub operations: Vec<String>,
     /// Earlier changes, newest last, without their texts.
     #[serde(default)]
     pub history: Vec<Change>,
-    /// What the object's version lacks for the settings' revision.
+    /// The difference between the settings' revision and the object's version.
     #[serde(default)]
     pub base: u64,
 }
 
 impl StoredSettings {
-    /// The settings' revision, in an object of this version. It grows with
-    /// each change, also if the platform is restored from an older copy and
-    /// gives versions out again.
+    /// Returns the settings' revision, given the object's version. It grows
+    /// with each change, even if the platform is restored from an older copy
+    /// and assigns versions again.
     pub fn revision(&self, version: u64) -> u64 {
         self.base + version
     }
@@ -69,42 +70,42 @@
 /// A change in the history.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Change {
-    /// Who wrote it.
+    /// The name of the author.
     pub author: String,
-    /// Why.
+    /// The reason that the author gave.
     pub reason: String,
-    /// When, in milliseconds since the epoch.
+    /// The time of the write, in milliseconds since the epoch.
     pub time_ms: u64,
     /// The operation id.
     pub operation: String,
 }
 
-/// What a call came to.
+/// The result of a call.
 #[derive(Clone, Debug)]
 pub enum CallResult<T> {
     /// The platform answered.
     Answered(T),
     /// The condition of an update did not hold.
     Conflict,
-    /// No answer, or one that says nothing. A write may have taken effect.
+    /// No answer, or an unusable one. An update may have taken effect.
     Lost,
 }
 
-/// A client with a budget of calls.
+/// A client for the object API that limits its rate of calls.
 #[derive(Clone, Debug)]
 pub struct Platform {
     http: HttpClient,
     address: SocketAddr,
-    budget: Arc<CallBudget>,
+    rate_limit: Arc<CallRateLimit>,
 }
 
 impl Platform {
-    /// A client for the platform at the configured address.
+    /// Creates a client for the platform at the configured address.
     pub fn new(http: HttpClient, config: &PlatformConfig) -> Platform {
         Platform {
             http,
             address: config.address,
-            budget: Arc::new(CallBudget::new(config.calls_per_s)),
+            rate_limit: Arc::new(CallRateLimit::new(config.calls_per_s)),
         }
     }
 
@@ -113,21 +114,23 @@
         self.get(&format!("/objects/{key}"), CALL_TIMEOUT).await
     }
 
-    /// Waits until an object's version is above `after`, for a while.
+    /// Waits until an object's version is above `after`, for at most ten
+    /// seconds, and returns the object.
     pub async fn watch(&self, key: &str, after: u64) -> CallResult<Object> {
         let path = format!("/objects/{key}?after={after}&wait_ms={WATCH_MS}");
         let timeout = CALL_TIMEOUT + Duration::from_millis(WATCH_MS);
         self.get(&path, timeout).await
     }
 
-    /// Updates an object if its version is `expected`; returns the new one.
+    /// Updates an object if its version is `expected`; returns the new
+    /// version.
     pub async fn update(
         &self,
         key: &str,
         expected: u64,
         value: &serde_json::Value,
     ) -> CallResult<u64> {
-        self.budget.wait().await;
+        self.rate_limit.wait().await;
         let path = format!("/objects/{key}?if_version={expected}");
         let body = Bytes::from(value.to_string());
         let answer = self
@@ -137,7 +140,7 @@
                 self.address,
                 &path,
                 body,
-                MOST_BYTES,
+                MAX_ANSWER_BYTES,
                 CALL_TIMEOUT,
             )
             .await;
@@ -156,7 +159,7 @@
     }
 
     async fn get(&self, path: &str, timeout: Duration) -> CallResult<Object> {
-        self.budget.wait().await;
+        self.rate_limit.wait().await;
         let answer = self
             .http
             .call(
@@ -164,7 +167,7 @@
                 self.address,
                 path,
                 Bytes::new(),
-                MOST_BYTES,
+                MAX_ANSWER_BYTES,
                 timeout,
             )
             .await;
@@ -180,20 +183,20 @@
     }
 }
 
-/// Spaces calls out, so that a process never calls faster than its budget.
+/// Delays calls so that the process stays within its rate of calls.
 #[derive(Debug)]
-struct CallBudget {
+struct CallRateLimit {
     gap_us: u64,
     start: Duration,
     next_us: AtomicU64,
 }
 
-/// Calls that may follow one another without a pause.
+/// The maximum number of calls in a burst.
 const BURST: u64 = 4;
 
-impl CallBudget {
-    fn new(calls_per_s: u32) -> CallBudget {
-        CallBudget {
+impl CallRateLimit {
+    fn new(calls_per_s: u32) -> CallRateLimit {
+        CallRateLimit {
             gap_us: 1_000_000 / u64::from(calls_per_s.max(1)),
             start: boot_time::now(),
             next_us: AtomicU64::new(0),
@@ -204,13 +207,13 @@
         let passed = boot_time::now().saturating_sub(self.start);
         let now_us = passed.as_micros() as u64;
         let earliest = now_us.saturating_sub(BURST * self.gap_us);
-        let turn = self.next_us.fetch_update(
+        let reserved = self.next_us.fetch_update(
             Ordering::Relaxed,
             Ordering::Relaxed,
             |next_us| Some(next_us.max(earliest) + self.gap_us),
         );
-        let turn_us = turn.unwrap_or(0).max(earliest);
-        let wait_us = turn_us.saturating_sub(now_us);
+        let slot_us = reserved.unwrap_or(0).max(earliest);
+        let wait_us = slot_us.saturating_sub(now_us);
         tokio::time::sleep(Duration::from_micros(wait_us)).await;
     }
 }
