--- a/crates/raildale/src/handshake.rs
+++ b/crates/raildale/src/handshake.rs
@@ -1,8 +1,9 @@
-//! The greeting: both sides prove that they hold the cluster's key.
+//! The handshake, in which both sides prove that they hold the cluster key.
 //!
 //! The dialling side sends [`Hello`] with a nonce, the accepting side answers
-//! with [`Welcome`], which signs that nonce and brings one of its own, and
-//! [`Proof`] signs it. Nothing else is read from a peer before that.
+//! with [`Welcome`], which signs that nonce and carries its own, and the
+//! dialling side signs this one in [`Proof`]. No other message is result
+//! before the handshake is complete.
 
 use futures_util::{SinkExt, StreamExt};
 use raildale_core::{
@@ -22,17 +23,20 @@
     error::{Error, ErrorKind},
 };
 
-/// A connection whose frames are split.
+/// A connection split into frames.
 pub type Frames<S = TcpStream> = Framed<S, LengthDelimitedCodec>;
 
-/// How long a peer may take to greet.
+/// How long a peer may take for each message of the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Greets as the side that dialled; returns who answered.
+/// Performs the handshake as the dialling side; returns the peer's identity.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Handshake`] if the peer refused or does not hold the key.
+/// [`ErrorKind::Handshake`] if the peer refused, does not hold the key or does
+/// not answer in time; [`ErrorKind::Frame`] or [`ErrorKind::Version`] if it
+/// sends a frame that cannot be decoded; [`ErrorKind::Io`] if the connection
+/// fails.
 pub async fn dial<S>(
     frames: &mut Frames<S>,
     identity: &Identity,
@@ -45,11 +49,11 @@
     let hello = Hello { identity: identity.clone(), nonce: nonce.clone() };
     send(frames, Body::Hello(hello)).await?;
     let Body::Welcome(welcome) = receive(frames).await? else {
-        return Err(refused("no welcome"));
+        return Err(refused("unexpected message instead of a welcome"));
     };
     let name = welcome.identity.name.as_bytes();
     if !key.verifies(&[b"welcome", name, &nonce], &welcome.mac) {
-        return Err(refused("the peer does not hold the cluster's key"));
+        return Err(refused("the peer does not hold the cluster key"));
     }
     let own = identity.name.as_bytes();
     let mac = key.sign(&[b"proof", own, &welcome.nonce]).to_vec();
@@ -57,12 +61,13 @@
     Ok(welcome.identity)
 }
 
-/// Greets as the side that accepted; returns who dialled.
+/// Performs the handshake as the accepting side; returns the peer's identity.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Handshake`] if the peer does not hold the key;
-/// [`ErrorKind::Frame`] if it speaks otherwise. The peer is told the number.
+/// [`ErrorKind::Handshake`] if the peer does not hold the key or does not
+/// answer in time; [`ErrorKind::Frame`] if it sends an unexpected message;
+/// otherwise as [`dial`]. The peer is sent the error's code.
 pub async fn accept<S>(
     frames: &mut Frames<S>,
     identity: &Identity,
@@ -71,21 +76,21 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let accepted = handshake(frames, identity, key).await;
-    if let Err(error) = &accepted {
+    let result = handshake(frames, identity, key).await;
+    if let Err(error) = &result {
         refuse(frames, error.code()).await;
     }
-    accepted
+    result
 }
 
-/// Tells a peer why its connection closes.
+/// Sends a peer the reason for closing its connection.
 pub async fn refuse<S>(frames: &mut Frames<S>, code: Code)
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
     let refusal =
         Refusal { code: code.number(), detail: code.text().to_string() };
-    // The peer may be gone already, and nothing hangs on its hearing this.
+    // The peer may have disconnected already; the refusal is best effort.
     let _ = send(frames, Body::Refusal(refusal)).await;
 }
 
@@ -98,7 +103,10 @@
     S: AsyncRead + AsyncWrite + Unpin,
 {
     let Body::Hello(hello) = receive(frames).await? else {
-        return Err(Error::new(ErrorKind::Frame, "no hello"));
+        return Err(Error::new(
+            ErrorKind::Frame,
+            "unexpected message instead of a hello",
+        ));
     };
     let nonce = nonce();
     let own = identity.name.as_bytes();
@@ -109,11 +117,14 @@
     };
     send(frames, Body::Welcome(welcome)).await?;
     let Body::Proof(proof) = receive(frames).await? else {
-        return Err(Error::new(ErrorKind::Frame, "no proof"));
+        return Err(Error::new(
+            ErrorKind::Frame,
+            "unexpected message instead of a proof",
+        ));
     };
     let name = hello.identity.name.as_bytes();
     if !key.verifies(&[b"proof", name, &nonce], &proof.mac) {
-        return Err(refused("the peer does not hold the cluster's key"));
+        return Err(refused("the peer does not hold the cluster key"));
     }
     Ok(hello.identity)
 }
@@ -132,8 +143,8 @@
 {
     let frame = timeout(HANDSHAKE_TIMEOUT, frames.next())
         .await
-        .map_err(|_| refused("no greeting in time"))?
-        .ok_or(refused("the connection closed"))?;
+        .map_err(|_| refused("handshake timed out"))?
+        .ok_or(refused("connection closed during the handshake"))?;
     let bytes = frame
         .map_err(|error| Error::new(ErrorKind::Frame, error.to_string()))?;
     match codec::decode(&bytes)? {
