--- a/crates/raildale/src/chunk_store.rs
+++ b/crates/raildale/src/chunk_store.rs
@@ -1,63 +1,63 @@
-//! The bytes of chunks, by digest. No disk: memory only.
+//! An in-memory store of chunks, by digest.
 //!
-//! Content addressing is what keeps versions apart: a chunk can only be read
-//! under the digest that its own bytes have, so two versions share what is
-//! equal and can never mix what is not.
+//! Content addressing keeps versions apart: a chunk can only be read under the
+//! digest of its own bytes, so two versions share equal chunks and never mix
+//! different ones.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 use raildale_core::Digest;
 
-/// Chunks that arrived and chunks that are kept.
+/// Chunks that have arrived unverified and chunks that are kept.
 #[derive(Debug, Default)]
 pub struct ChunkStore {
-    arrived: HashMap<Digest, Bytes>,
+    unverified: HashMap<Digest, Bytes>,
     kept: HashMap<Digest, Bytes>,
     kept_bytes: u64,
 }
 
 impl ChunkStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> ChunkStore {
         ChunkStore::default()
     }
 
-    /// Takes bytes in, unjudged, and returns their digest.
+    /// Adds unverified bytes and returns their digest.
     pub fn insert_unverified(&mut self, data: Bytes) -> Digest {
         let digest = Digest::of(&data);
-        self.arrived.insert(digest, data);
+        self.unverified.insert(digest, data);
         digest
     }
 
-    /// Keeps bytes that arrived: their digest is one that a version lists.
+    /// Keeps unverified bytes whose digest is listed in a version's manifest.
     pub fn keep(&mut self, digest: Digest) {
-        if let Some(data) = self.arrived.remove(&digest) {
+        if let Some(data) = self.unverified.remove(&digest) {
             self.kept_bytes += data.len() as u64;
-            if let Some(twin) = self.kept.insert(digest, data) {
-                self.kept_bytes -= twin.len() as u64;
+            if let Some(replaced) = self.kept.insert(digest, data) {
+                self.kept_bytes -= replaced.len() as u64;
             }
         }
     }
 
-    /// Throws away bytes that arrived.
+    /// Removes unverified bytes.
     pub fn discard(&mut self, digest: Digest) {
-        self.arrived.remove(&digest);
+        self.unverified.remove(&digest);
     }
 
-    /// Throws away kept bytes.
+    /// Removes a kept chunk.
     pub fn drop_kept(&mut self, digest: Digest) {
         if let Some(data) = self.kept.remove(&digest) {
             self.kept_bytes -= data.len() as u64;
         }
     }
 
-    /// Kept bytes.
+    /// Returns a kept chunk; `None` if there is none with this digest.
     pub fn get(&self, digest: &Digest) -> Option<Bytes> {
         self.kept.get(digest).cloned()
     }
 
-    /// Bytes kept in all.
+    /// Returns the total size of the kept chunks in bytes.
     pub fn kept_bytes(&self) -> u64 {
         self.kept_bytes
     }
