--- a/crates/raildale/src/clock.rs
+++ b/crates/raildale/src/clock.rs
@@ -4,10 +4,10 @@
 
 use crate::boot_time;
 
-/// Milliseconds since the epoch, which never run backwards.
+/// A clock of milliseconds since the Unix epoch that never runs backwards.
 ///
-/// The wall clock is read once, at the start; a step of it later on must not
-/// bring an expired run key back to life.
+/// The wall clock is read only once, at start, so that a later step of it
+/// cannot make an expired run key valid again.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     wall: Duration,
@@ -22,13 +22,14 @@
         Clock { wall, start: boot_time::now() }
     }
 
-    /// Now, in milliseconds since the epoch.
+    /// Returns the current time in milliseconds since the Unix epoch.
     pub fn now_ms(&self) -> u64 {
         let passed = boot_time::now().saturating_sub(self.start);
         (self.wall + passed).as_millis() as u64
     }
 
-    /// A number that differs at each start of a process.
+    /// Returns a number that differs at each start of a process: the start
+    /// time in microseconds.
     pub fn incarnation(&self) -> u64 {
         self.wall.as_micros() as u64
     }
