--- a/crates/raildale/src/error.rs
+++ b/crates/raildale/src/error.rs
@@ -1,29 +1,29 @@
-//! The library's one error type.
+//! The error type of the library.
 
 use std::fmt;
 
 use displaydoc::Display;
 use raildale_core::Code;
 
-/// An error of the library: opaque, with a [`ErrorKind`] and a [`Code`].
+/// An error of the library, with an [`ErrorKind`] and a [`Code`].
 #[derive(Debug)]
 pub struct Error {
     kind: ErrorKind,
     detail: String,
 }
 
-/// What went wrong.
+/// The kind of an error.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// the settings file does not check
+    /// the settings file is invalid
     Config,
-    /// the settings do not check
+    /// the settings are invalid
     Settings,
-    /// the peer was refused
+    /// the handshake failed
     Handshake,
     /// the frame is malformed
     Frame,
-    /// the peer speaks another protocol version
+    /// the protocol version is not supported
     Version,
     /// the platform does not answer
     Platform,
@@ -31,32 +31,32 @@
     Origin,
     /// the target does not answer
     Target,
-    /// the operating system refused
+    /// input or output failed
     Io,
-    /// the entry host refused
+    /// the entry host refused the request
     Refused(
-        /// With this code.
+        /// The code of the refusal.
         Code,
     ),
 }
 
 impl Error {
-    /// An error of `kind` with words that hold no secret.
+    /// Creates an error. `detail` must not contain secrets.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Error {
         Error { kind, detail: detail.into() }
     }
 
-    /// What went wrong.
+    /// Returns the kind of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// The words that go with it.
+    /// Returns the detail message.
     pub fn detail(&self) -> &str {
         &self.detail
     }
 
-    /// The number that scripts may rely on.
+    /// Returns the error's code, whose number is stable for scripts.
     pub fn code(&self) -> Code {
         match self.kind {
             ErrorKind::Config | ErrorKind::Io => Code::ConfigInvalid,
