--- a/crates/raildale/src/http_client.rs
+++ b/crates/raildale/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP towards the platform, the origin and targets.
+//! The HTTP client for the platform, the origin and targets.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,30 +14,30 @@
 
 use crate::running_timeout::running_timeout;
 
-/// Connections to one peer that are kept at most.
+/// The maximum number of idle connections kept per peer.
 pub const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// How long a kept connection rests at most.
+/// How long an idle connection is kept.
 pub const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
 
-/// Why an answer did not come.
+/// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection: nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     NotSent,
-    /// Something was sent and no whole answer came.
+    /// The request may have been sent, but no complete answer arrived.
     Lost,
-    /// The same, and the time for it is over.
+    /// No complete answer arrived before the time-out.
     Late,
 }
 
-/// A pooled client.
+/// An HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
@@ -49,7 +49,7 @@
 }
 
 impl HttpClient {
-    /// A client whose connections leave from `bind_ip`, if there is one.
+    /// Creates a client whose connections are bound to `bind_ip`, if given.
     pub fn new(bind_ip: Option<std::net::IpAddr>) -> HttpClient {
         HttpClient::with_pool_limits(
             bind_ip,
@@ -58,30 +58,31 @@
         )
     }
 
-    /// A client that keeps `kept` connections to a peer at most, and none
-    /// that has rested for longer than `rest`.
+    /// Creates a client that keeps at most `max_idle` idle connections per
+    /// peer, each for at most `max_idle_time`.
     pub fn with_pool_limits(
         bind_ip: Option<std::net::IpAddr>,
-        kept: usize,
-        rest: Duration,
+        max_idle: usize,
+        max_idle_time: Duration,
     ) -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_local_address(bind_ip);
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(2)));
         let client = Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(rest)
-            .pool_max_idle_per_host(kept)
+            .pool_idle_timeout(max_idle_time)
+            .pool_max_idle_per_host(max_idle)
             .retry_canceled_requests(false)
             .build(connector);
         HttpClient { client }
     }
 
-    /// Sends a request and returns the answer's head; its body streams.
+    /// Sends a request and returns the answer once its head has arrived; the
+    /// body is streamed.
     ///
     /// # Errors
     ///
-    /// A [`Failure`], which tells whether anything was sent.
+    /// [`Failure::NotSent`] if nothing was sent, [`Failure::Lost`] otherwise.
     pub async fn open(
         &self,
         request: Request<Full<Bytes>>,
@@ -94,18 +95,19 @@
         })
     }
 
-    /// Sends a request and reads an answer of at most `most` bytes.
+    /// Sends a request and reads an answer of at most `max_bytes`.
     ///
     /// # Errors
     ///
-    /// A [`Failure`]; an answer that is too long or too late counts as lost.
+    /// A [`Failure`]: an answer that is too long is [`Failure::Lost`], one
+    /// that takes longer than `timeout` is [`Failure::Late`].
     pub async fn call(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
         body: Bytes,
-        most: usize,
+        max_bytes: usize,
         timeout: Duration,
     ) -> Result<Answer, Failure> {
         let request = Request::builder()
@@ -113,11 +115,11 @@
             .uri(format!("http://{address}{path}"))
             .body(body)
             .map_err(|_| Failure::NotSent)?;
-        self.exchange(request, most, timeout).await
+        self.exchange(request, max_bytes, timeout).await
     }
 
-    /// Sends a request with headers of its own and reads an answer of at
-    /// most `most` bytes.
+    /// Sends a request with its own headers and reads an answer of at most
+    /// `max_bytes`.
     ///
     /// # Errors
     ///
@@ -125,13 +127,13 @@
     pub async fn exchange(
         &self,
         request: Request<Bytes>,
-        most: usize,
+        max_bytes: usize,
         timeout: Duration,
     ) -> Result<Answer, Failure> {
         let exchange = async {
             let (head, body) =
                 self.open(request.map(Full::new)).await?.into_parts();
-            let body = Limited::new(body, most)
+            let body = Limited::new(body, max_bytes)
                 .collect()
                 .await
                 .map_err(|_| Failure::Lost)?
