--- a/crates/raildale/src/http_server.rs
+++ b/crates/raildale/src/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server whose connections end once their answers are written.
+//! An HTTP server that closes its connections gracefully.
 
 use std::{
     io,
@@ -19,31 +19,30 @@
     sync::watch,
 };
 
-/// Pause after a connection could not be accepted: descriptors may have run
-/// out, and a loop without a pause would only burn the processor. The figure
-/// is an estimate.
+/// Pause after a connection could not be accepted. The process may have run
+/// out of file descriptors; retrying at once would be a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What ends a server and its connections.
+/// Shuts down a server and its connections.
 #[derive(Debug)]
 pub struct Shutdown {
-    /// Every connection listens to it for as long as it is open.
-    is_ending: watch::Sender<bool>,
+    /// Set to `true` on shutdown. Every open connection holds a receiver.
+    is_shut_down: watch::Sender<bool>,
 }
 
 impl Shutdown {
-    /// Ends nothing yet.
+    /// Creates a handle that has not been triggered.
     pub fn new() -> Shutdown {
-        Shutdown { is_ending: watch::Sender::new(false) }
+        Shutdown { is_shut_down: watch::Sender::new(false) }
     }
 
-    /// Ends each connection once its answer in progress is written, and
-    /// waits for them for `most`; returns how many are still open.
-    pub async fn shut_down(&self, most: Duration) -> usize {
-        self.is_ending.send_replace(true);
-        match tokio::time::timeout(most, self.is_ending.closed()).await {
+    /// Closes each connection once its answer in progress is written and waits
+    /// for this up to `limit`. Returns the number of connections still open.
+    pub async fn shut_down(&self, limit: Duration) -> usize {
+        self.is_shut_down.send_replace(true);
+        match tokio::time::timeout(limit, self.is_shut_down.closed()).await {
             Ok(()) => 0,
-            Err(_) => self.is_ending.receiver_count(),
+            Err(_) => self.is_shut_down.receiver_count(),
         }
     }
 }
@@ -54,26 +53,26 @@
     }
 }
 
-/// Serves a router on a listener, without TLS, until it is ended.
-pub async fn serve<H>(listener: TcpListener, handler: H, ending: &Shutdown)
+/// Serves a router on a listener, without TLS, until shutdown.
+pub async fn serve<H>(listener: TcpListener, handler: H, shutdown: &Shutdown)
 where
     H: NewHandler + UnwindSafe + RefUnwindSafe + 'static,
 {
     let handler = Arc::new(handler);
-    let mut ending = ending.is_ending.subscribe();
+    let mut shutdown = shutdown.is_shut_down.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = is_ending(&mut ending) => return,
+            () = wait_for_shutdown(&mut shutdown) => return,
         };
         match accepted {
             Ok((stream, peer)) => {
-                let ending = ending.clone();
+                let shutdown = shutdown.clone();
                 let handler = handler.clone();
-                tokio::spawn(serve_one(stream, peer, handler, ending));
+                tokio::spawn(serve_one(stream, peer, handler, shutdown));
             }
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("connection could not be accepted: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -84,7 +83,7 @@
     stream: TcpStream,
     peer: SocketAddr,
     handler: Arc<H>,
-    mut ending: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<bool>,
 ) where
     H: NewHandler + UnwindSafe + RefUnwindSafe + 'static,
 {
@@ -98,7 +97,7 @@
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => Some(ended),
-        () = is_ending(&mut ending) => None,
+        () = wait_for_shutdown(&mut shutdown) => None,
     };
     let ended = match ended {
         Some(ended) => ended,
@@ -108,22 +107,22 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("connection of {peer}: {error}");
+        log::debug!("connection to {peer} failed: {error}");
     }
 }
 
-/// Small answers must not wait for a full segment.
+/// Disables Nagle's algorithm, so that small answers are sent at once.
 fn set_no_delay(stream: &TcpStream) {
     let set: io::Result<()> = stream.set_nodelay(true);
     if let Err(error) = set {
-        log::debug!("socket options: {error}");
+        log::debug!("TCP_NODELAY could not be set: {error}");
     }
 }
 
-/// Waits until connections are to end; a server that is gone ends them too.
-async fn is_ending(ending: &mut watch::Receiver<bool>) {
-    let told = ending.wait_for(|is_ending| *is_ending).await;
-    if told.is_err() {
-        log::debug!("connections outlive what ends them");
+/// Waits for shutdown. A dropped [`Shutdown`] triggers it too.
+async fn wait_for_shutdown(shutdown: &mut watch::Receiver<bool>) {
+    let result = shutdown.wait_for(|is_shut_down| *is_shut_down).await;
+    if result.is_err() {
+        log::debug!("shutdown handle was dropped; closing connections");
     }
 }
