--- a/crates/raildale/src/lib.rs
+++ b/crates/raildale/src/lib.rs
@@ -1,13 +1,13 @@
 //! Weight distribution for bursts, with request routing.
 //!
-//! raildale spreads model weights to hundreds of hosts in minutes while live
-//! requests keep flowing, and routes those requests. This crate is the
-//! library behind its programs: the daemons `raildale-entry` and
-//! `raildale-agent`, and the operators' command `raildale`, are thin.
+//! raildale distributes model weights to hundreds of hosts in minutes while it
+//! routes live requests to them. This crate is the library behind its
+//! programs: the daemons `raildale-entry` and `raildale-agent`, and the
+//! operators' command `raildale`.
 //!
 //! # Example
 //!
-//! Settings are checked whole before they are accepted:
+//! Settings are validated as a whole before they are accepted:
 //!
 //! ```
 //! let text = r#"
@@ -26,9 +26,10 @@
 //!
 //! # Where to go next
 //!
-//! * [`entry_daemon`] and [`agent_daemon`]: the shells round the reducers.
-//! * [`raildale_core`]: every decision, pure.
-//! * `docs/DESIGN.md`: what was weighed, and why.
+//! * [`entry_daemon`] and [`agent_daemon`]: the I/O shells around the
+//!   reducers.
+//! * [`raildale_core`]: all decisions, free of I/O.
+//! * `docs/DESIGN.md`: the design and its reasons.
 
 pub mod agent_daemon;
 pub mod boot_time;
