--- a/crates/raildale/src/metrics.rs
+++ b/crates/raildale/src/metrics.rs
@@ -23,16 +23,17 @@
     label: String,
 }
 
-/// Quantiles that a histogram is shown at.
+/// The quantiles rendered for each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
 impl Metrics {
-    /// No series yet.
+    /// Creates a registry without series.
     pub fn new() -> Metrics {
         Metrics::default()
     }
 
-    /// Adds to a counter.
+    /// Adds `amount` to a counter. `label` is a rendered label such as
+    /// `code="1000"`, or empty.
     pub fn add(&self, name: &'static str, label: &str, amount: u64) {
         let series = Series { name, label: label.to_string() };
         *self.lock().counters.entry(series).or_default() += amount;
@@ -44,17 +45,17 @@
         self.lock().gauges.insert(series, value);
     }
 
-    /// Adds a value to a histogram; its name carries the unit.
+    /// Records a value in a histogram, whose name ends in the unit.
     pub fn record(&self, name: &'static str, label: &str, value: u64) {
         let series = Series { name, label: label.to_string() };
         let mut inner = self.lock();
         let histogram = inner.histograms.entry(series).or_insert_with(|| {
-            Histogram::new(3).expect("3 digits are within the bounds")
+            Histogram::new(3).expect("3 significant digits are supported")
         });
         histogram.saturating_record(value);
     }
 
-    /// The page.
+    /// Renders all series in the text format.
     pub fn render(&self) -> String {
         let inner = self.lock();
         let mut page = String::new();
