--- a/crates/raildale/src/metrics_page.rs
+++ b/crates/raildale/src/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The `/metrics` page of a process that serves nothing else over HTTP.
+//! The `/metrics` page of a process without another HTTP server.
 
 use std::{net::SocketAddr, panic::AssertUnwindSafe, sync::Arc};
 
@@ -19,22 +19,24 @@
     metrics::Metrics,
 };
 
-/// The metrics, as gotham hands them to the page.
+/// The metrics, in gotham's state.
 #[derive(Clone, StateData)]
 struct Shared(Arc<AssertUnwindSafe<Arc<Metrics>>>);
 
-/// Serves the page for as long as the process runs. Without the address the
-/// process goes on: the page is not what the host is there for.
+/// Serves the page for as long as the process runs. If the address cannot be
+/// bound, the error is logged and the process runs without the page.
 pub fn start(address: SocketAddr, metrics: Arc<Metrics>) {
     let shared = Shared(Arc::new(AssertUnwindSafe(metrics)));
     let router = router(shared);
     tokio::spawn(async move {
         match TcpListener::bind(address).await {
             Ok(listener) => {
-                let ending = Shutdown::new();
-                http_server::serve(listener, router, &ending).await;
+                let shutdown = Shutdown::new();
+                http_server::serve(listener, router, &shutdown).await;
+            }
+            Err(error) => {
+                log::error!("metrics page cannot listen on {address}: {error}")
             }
-            Err(error) => log::error!("metrics on {address}: {error}"),
         }
     });
 }
