--- a/crates/raildale/src/origin.rs
+++ b/crates/raildale/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights, as a client sees it.
+//! A client for the origin of weights.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,12 +8,13 @@
 
 use crate::http_client::HttpClient;
 
-/// How long a chunk may take. Generous: the reducer has a deadline of its
-/// own that depends on the link, and this only ends what it gave up on.
+/// Time-out of a call. Generous, because the reducer has its own deadline that
+/// depends on the link; this one only ends calls that the reducer has given up
+/// on.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Bytes of a chunk or manifest at most.
-const MOST_BYTES: usize = 16 << 20;
+/// The maximum size of a chunk or manifest in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// A client for the origin.
 #[derive(Clone, Debug)]
@@ -23,18 +24,20 @@
 }
 
 impl Origin {
-    /// A client for the origin at `address`.
+    /// Creates a client for the origin at `address`.
     pub fn new(http: HttpClient, address: SocketAddr) -> Origin {
         Origin { http, address }
     }
 
-    /// Reads the manifest at `origin_path`, unchecked.
+    /// Reads the manifest at `origin_path` without verifying its digest.
+    /// `None` if the origin does not answer or the manifest is malformed.
     pub async fn manifest(&self, origin_path: &str) -> Option<Manifest> {
         let body = self.get(&format!("/{origin_path}/manifest")).await?;
         Manifest::decode(&body)
     }
 
-    /// Reads a chunk at `origin_path`, unchecked.
+    /// Reads a chunk at `origin_path` without verifying its digest. `None` if
+    /// the origin does not deliver it.
     pub async fn chunk(
         &self,
         origin_path: &str,
@@ -51,7 +54,7 @@
                 self.address,
                 path,
                 Bytes::new(),
-                MOST_BYTES,
+                MAX_ANSWER_BYTES,
                 CHUNK_TIMEOUT,
             )
             .await
