--- a/crates/raildale/src/pacer.rs
+++ b/crates/raildale/src/pacer.rs
@@ -1,34 +1,35 @@
-//! The share of the link that spreads may use.
+//! A rate limiter for the share of the link that spreads may use.
 
 use std::{sync::Mutex, time::Duration};
 
 use crate::boot_time;
 
-/// Lets bytes go at a rate, in the order in which they ask.
+/// Limits the rate of bytes; callers are served in the order of their calls.
 ///
-/// A spread that fills the link makes live requests queue behind it inside
-/// the network, where nothing here can let them pass. Holding spreads a few
-/// percent below the link's rate keeps that queue empty.
+/// A spread that fills the link makes live requests queue behind it in the
+/// network, where they cannot be given priority. Keeping spreads a few percent
+/// below the link's rate keeps that queue empty.
 #[derive(Debug)]
 pub struct Pacer {
     bytes_per_s: u64,
-    /// When all that was let go has gone, since the machine started.
+    /// The time since boot at which all reserved bytes are sent.
     free_at: Mutex<Duration>,
 }
 
-/// Bytes that leave between two waits. Small, so that a request's frame on
-/// another connection never waits long behind them.
+/// The number of bytes written between two waits. Small, so that a request's
+/// frame on another connection never waits long behind them.
 pub const SLICE_BYTES: usize = 8 << 10;
 
-/// Waits shorter than this are saved up, since a timer is no finer.
-const GRAIN: Duration = Duration::from_millis(2);
+/// The shortest wait. Shorter ones are skipped and add up, since timers are no
+/// finer.
+const MIN_WAIT: Duration = Duration::from_millis(2);
 
-/// Time that an idle pacer may catch up. Without it each late timer would
-/// lose its delay for good.
-const CATCH_UP: Duration = Duration::from_millis(20);
+/// The time for which unused rate may be caught up. Without it, the delay of
+/// each late timer would reduce the rate.
+const MAX_CATCH_UP: Duration = Duration::from_millis(20);
 
 impl Pacer {
-    /// A pacer of `bytes_per_s`.
+    /// Creates a pacer of `bytes_per_s`.
     pub fn new(bytes_per_s: u64) -> Pacer {
         Pacer {
             bytes_per_s: bytes_per_s.max(1),
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Waits until `bytes` more may go.
+    /// Waits until `bytes` more may be sent.
     pub async fn wait(&self, bytes: usize) {
         let now = boot_time::now();
-        let turn = self.reserve(now, bytes);
-        let wait = turn.saturating_sub(now);
-        if wait >= GRAIN {
+        let start = self.reserve(now, bytes);
+        let wait = start.saturating_sub(now);
+        if wait >= MIN_WAIT {
             tokio::time::sleep(wait).await;
         }
     }
@@ -52,9 +53,9 @@
             .free_at
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        let earliest = now.saturating_sub(CATCH_UP);
-        let turn = (*free_at).max(earliest);
-        *free_at = turn + Duration::from_nanos(nanos);
-        turn
+        let earliest = now.saturating_sub(MAX_CATCH_UP);
+        let start = (*free_at).max(earliest);
+        *free_at = start + Duration::from_nanos(nanos);
+        start
     }
 }
