--- a/crates/raildale/src/request_body.rs
+++ b/crates/raildale/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading the body of a caller's request.
+//! Reads the body of a caller's request.
 
 use std::error::Error as StdError;
 
@@ -7,19 +7,19 @@
 use hyper::body::Body;
 use raildale_core::Code;
 
-/// Bytes over the limit that are read and thrown away.
+/// The maximum number of bytes beyond the limit that are read and discarded.
 ///
 /// A server that answers and closes while its caller is still sending resets
-/// the connection, and the answer may be lost on the way. The figure is an
-/// estimate of what callers send by mistake; whoever sends more is cut off.
-const DISCARD_MOST_BYTES: usize = 16 << 20;
+/// the connection, and the answer may be lost. The limit covers what callers
+/// are expected to send by mistake; a caller that sends more is cut off.
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
-/// Reads a body of at most `most_bytes`.
+/// Reads a body of at most `max_bytes`.
 ///
 /// # Errors
 ///
-/// [`Code::TooLarge`] if it is longer, [`Code::Malformed`] if it breaks off.
-pub async fn read<B>(body: B, most_bytes: usize) -> Result<Bytes, Code>
+/// [`Code::TooLarge`] if it is longer, [`Code::Malformed`] if it is truncated.
+pub async fn read<B>(body: B, max_bytes: usize) -> Result<Bytes, Code>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn StdError + Send + Sync>>,
@@ -29,15 +29,15 @@
     let mut discarded_bytes = 0;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Code::Malformed)?;
-        // Trailers say nothing that is needed here.
+        // Trailers are ignored.
         let Ok(data) = frame.into_data() else { continue };
-        let is_over = whole.len() + data.len() > most_bytes;
+        let is_over = whole.len() + data.len() > max_bytes;
         if !is_over && discarded_bytes == 0 {
             whole.extend_from_slice(&data);
             continue;
         }
         discarded_bytes += data.len();
-        if discarded_bytes > DISCARD_MOST_BYTES {
+        if discarded_bytes > MAX_DISCARDED_BYTES {
             break;
         }
     }
