--- a/crates/raildale/src/settings_watch.rs
+++ b/crates/raildale/src/settings_watch.rs
@@ -1,4 +1,4 @@
-//! Reads the settings at the platform, and watches them when told to.
+//! Reads the settings at the platform and watches them on demand.
 
 use std::time::Duration;
 
@@ -8,28 +8,30 @@
     CallResult, Object, Platform, SETTINGS_KEY, StoredSettings,
 };
 
-/// Pauses after a call without an answer: the first, and the longest.
+/// Upper limits of the random pause after a call without an answer: the first
+/// and the longest.
 const BACKOFF: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(5_000));
 
-/// What the platform gave.
+/// An event of the settings watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// Settings, perhaps older than those in force: a read may be stale.
+    /// Settings. They may be older than those in force: a read may be stale.
     Settings {
         /// Their revision.
         revision: u64,
-        /// TOML.
+        /// The settings, TOML.
         text: String,
     },
-    /// It no longer answers.
+    /// The platform stopped answering.
     Down,
-    /// It answers again.
+    /// The platform answers again.
     Back,
 }
 
-/// Reads once, so that a process has settings although it knows no peer, and
-/// from then on watches for as long as `watching` says so.
+/// Starts a task that reads the settings once, so that a process without peers
+/// has settings, and then watches them while `watching` is `true`. The task
+/// ends once the sender of `watching` is dropped.
 pub fn start(
     platform: Platform,
     mut watching: watch::Receiver<bool>,
@@ -60,7 +62,7 @@
 struct Watcher {
     platform: Platform,
     events: mpsc::UnboundedSender<WatchEvent>,
-    seen: u64,
+    last_version: u64,
     pause: Duration,
     is_down: bool,
 }
@@ -70,26 +72,34 @@
         platform: Platform,
         events: mpsc::UnboundedSender<WatchEvent>,
     ) -> Watcher {
-        Watcher { platform, events, seen: 0, pause: BACKOFF.0, is_down: false }
+        Watcher {
+            platform,
+            events,
+            last_version: 0,
+            pause: BACKOFF.0,
+            is_down: false,
+        }
     }
 
     async fn read_once(&mut self) -> bool {
-        let called = self.platform.read(SETTINGS_KEY).await;
-        self.take(called).await
+        let result = self.platform.read(SETTINGS_KEY).await;
+        self.handle_result(result).await
     }
 
-    /// Waits for the next version. After an outage the platform may be at a
-    /// lower one, which only a read shows at once.
+    /// Waits for the next version. After an outage, reads the current version
+    /// instead: it may be lower, which a watch would not report at once.
     async fn watch_once(&mut self) {
-        let called = match self.is_down {
+        let result = match self.is_down {
             true => self.platform.read(SETTINGS_KEY).await,
-            false => self.platform.watch(SETTINGS_KEY, self.seen).await,
+            false => {
+                self.platform.watch(SETTINGS_KEY, self.last_version).await
+            }
         };
-        self.take(called).await;
+        self.handle_result(result).await;
     }
 
-    async fn take(&mut self, called: CallResult<Object>) -> bool {
-        let CallResult::Answered(object) = called else {
+    async fn handle_result(&mut self, result: CallResult<Object>) -> bool {
+        let CallResult::Answered(object) = result else {
             if !self.is_down {
                 self.is_down = true;
                 let _ = self.events.send(WatchEvent::Down);
@@ -104,17 +114,16 @@
             let _ = self.events.send(WatchEvent::Back);
         }
         self.pause = BACKOFF.0;
-        // A version below the last one is an old answer, or the platform was
-        // restored; what it holds is refused if it is older than what is in
-        // force.
-        if object.version != self.seen {
-            self.seen = object.version;
-            self.pass_on(object);
+        // A lower version is a stale answer or comes from a restored platform.
+        // The reducer refuses settings older than those in force.
+        if object.version != self.last_version {
+            self.last_version = object.version;
+            self.send_settings(object);
         }
         true
     }
 
-    fn pass_on(&self, object: Object) {
+    fn send_settings(&self, object: Object) {
         let stored = serde_json::from_value::<StoredSettings>(object.value);
         let stored = stored.unwrap_or_default();
         let revision = stored.revision(object.version);
