--- a/crates/raildale/src/signals.rs
+++ b/crates/raildale/src/signals.rs
@@ -1,22 +1,23 @@
-//! What a process is told by signals.
+//! The signals that a daemon handles.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::error::Error;
 
-/// What a signal says.
+/// A signal that a daemon handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalEvent {
-    /// To stop.
+    /// SIGTERM or SIGINT: stop.
     Stop,
-    /// That the settings file has changed.
+    /// SIGHUP: the settings file has changed.
     SettingsChanged,
 }
 
-/// The signals that a process listens to.
+/// The signal handlers of a process.
 ///
-/// Until it does, each of them ends the process. So this is the first thing
-/// that a program makes; what comes meanwhile is kept.
+/// Until they are installed, each signal ends the process, so a program
+/// installs them first. Signals that arrive before [`Signals::next`] is called
+/// are kept.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -25,11 +26,11 @@
 }
 
 impl Signals {
-    /// Listens from now on. To be called within a runtime.
+    /// Installs the handlers. Must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// [`crate::ErrorKind::Io`] if the system takes no handler.
+    /// [`crate::ErrorKind::Io`] if a handler cannot be installed.
     pub fn new() -> Result<Signals, Error> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -38,7 +39,7 @@
         })
     }
 
-    /// The next one.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
             _ = self.terminate.recv() => SignalEvent::Stop,
