--- a/crates/raildale/src/status.rs
+++ b/crates/raildale/src/status.rs
@@ -1,4 +1,4 @@
-//! What a process knows, for operators.
+//! The status of an entry host, for operators.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,22 @@
 /// An entry host's view of the fleet.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Status {
-    /// The entry host that answers.
+    /// The name of the entry host.
     pub entry: String,
-    /// Whether it serves.
+    /// Whether it serves requests.
     pub ready: bool,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
-    /// The settings' revision in force at it.
+    /// The settings' revision in force at the entry host.
     pub revision: u64,
     /// The revision in force at each other entry host.
     pub entries: BTreeMap<String, u64>,
-    /// Callers' addresses of the entry hosts that take work, nearest first.
+    /// HTTP addresses of the entry hosts that accept requests, nearest first.
     pub addresses: Vec<String>,
-    /// Requests that are not answered yet.
+    /// The number of requests that are not answered yet.
     pub in_progress: u64,
-    /// The settings' text in force; left out of what operators see.
+    /// The settings' text in force; cleared before the status is sent to
+    /// operators.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub settings_text: String,
     /// The agents.
@@ -38,34 +39,35 @@
     pub data_centre: String,
     /// Its pool.
     pub pool: String,
-    /// The settings' revision in force at it.
+    /// The settings' revision in force at the agent.
     pub revision: u64,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new runs.
     pub leaving: bool,
-    /// Runs in progress, as far as the entry host can tell.
+    /// Runs in progress, as known to the entry host.
     pub load: u64,
-    /// Runs that it takes at once.
+    /// The maximum number of concurrent runs.
     pub capacity: u64,
-    /// What it serves: model and manifest.
+    /// The served models, each with its manifest's digest.
     pub served: BTreeMap<String, String>,
-    /// Versions on their way: manifest, chunks verified, chunks in all.
+    /// Progress of the versions being fetched.
     pub progress: Vec<VersionProgress>,
 }
 
-/// How far a host is with a version.
+/// A host's progress in fetching a version.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct VersionProgress {
     /// The manifest's digest, hexadecimal.
     pub manifest: String,
-    /// Chunks verified.
+    /// The number of verified chunks.
     pub verified: u32,
-    /// Chunks in all; 0 while the manifest is not here.
+    /// The total number of chunks; 0 until the manifest has arrived.
     pub total: u32,
 }
 
 impl Status {
-    /// Leaves out models that are not `organisation`'s, so that an operator
-    /// of one organisation cannot tell another's from absent ones.
+    /// Removes the models of other organisations, so that an operator of one
+    /// organisation cannot tell whether they exist, and all hosts without a
+    /// model of `organisation`. Changes nothing if it is `None`.
     pub fn restrict_to(&mut self, organisation: Option<&str>) {
         let Some(own) = organisation else { return };
         let prefix = format!("{own}/");
@@ -76,7 +78,7 @@
         self.hosts.retain(|host| !host.served.is_empty());
     }
 
-    /// Reads the status off a reducer.
+    /// Creates the status from the state of a reducer.
     pub fn new(process: &str, entry: &Entry, now_ms: u64) -> Status {
         let revisions: BTreeMap<&str, u64> = entry
             .agent_revisions()
