--- a/crates/raildale/src/target.rs
+++ b/crates/raildale/src/target.rs
@@ -1,4 +1,4 @@
-//! A host's target, as its agent sees it: a model engine or a plain service.
+//! A client for a host's target, which is a model engine or a plain service.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,13 +14,13 @@
 
 use crate::http_client::{Failure, HttpClient};
 
-/// How long a target may take to answer an order.
+/// Time-out of an order to the target.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes of an order's answer at most.
-const MOST_BYTES: usize = 1 << 20;
+/// The maximum size of the answer to an order in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The header by which a target says that a refused request did not start.
+/// The header of a refused request that the target did not start.
 const NOT_STARTED: &str = "x-not-started";
 
 /// An order to serve a version.
@@ -30,7 +30,7 @@
     pub manifest: String,
     /// The settings' revision behind the order.
     pub revision: u64,
-    /// The incarnation of the agent that gives it.
+    /// The incarnation of the agent that gives the order.
     pub incarnation: u64,
 }
 
@@ -52,11 +52,11 @@
     pub prompt: String,
     /// 0 urgent, 1 normal, 2 bulk.
     pub priority: u32,
-    /// Tokens at most.
+    /// The maximum number of tokens of the answer.
     pub max_tokens: u32,
-    /// Salt for the prefix cache.
+    /// The salt of the prefix cache.
     pub cache_salt: String,
-    /// The run key, so that a target can tell runs apart.
+    /// The run key, which identifies the run at the target.
     pub run_key: String,
 }
 
@@ -68,12 +68,13 @@
 }
 
 impl Target {
-    /// A client for the target at `address`.
+    /// Creates a client for the target at `address`.
     pub fn new(http: HttpClient, address: SocketAddr) -> Target {
         Target { http, address }
     }
 
-    /// Puts a chunk into the slot of a version; says whether it was taken.
+    /// Puts a chunk into the slot of a version; returns whether the target
+    /// accepted it.
     pub async fn stage(
         &self,
         manifest: Digest,
@@ -84,7 +85,8 @@
         self.order(Method::PUT, &path, data).await == Some(StatusCode::OK)
     }
 
-    /// Orders the target to serve a version; says whether it obeyed.
+    /// Orders the target to serve a version; returns whether it accepted the
+    /// order.
     pub async fn activate(
         &self,
         model: &str,
@@ -102,7 +104,9 @@
         status == Some(StatusCode::OK)
     }
 
-    /// What the target says that it serves; none if it does not answer.
+    /// Returns the models that the target reports as served, each with its
+    /// manifest's digest. Empty if the target has no such list; `None` if it
+    /// does not answer or the answer is malformed.
     pub async fn served_models(&self) -> Option<Vec<(Name, Digest)>> {
         let answer = self
             .http
@@ -111,7 +115,7 @@
                 self.address,
                 "/models",
                 Bytes::new(),
-                MOST_BYTES,
+                MAX_ANSWER_BYTES,
                 ORDER_TIMEOUT,
             )
             .await
@@ -128,10 +132,11 @@
         Some(pairs.collect())
     }
 
-    /// Runs a request and sends its pieces and its end.
+    /// Runs a request; sends an event for each piece of the answer and one for
+    /// the end of the run.
     ///
-    /// The end of a chunked HTTP body is the end mark: a body that was cut
-    /// ends in an error instead.
+    /// The answer is complete if its chunked HTTP body ends normally: a body
+    /// that was cut ends with an error instead.
     pub async fn run(
         &self,
         order: RunOrder,
@@ -204,7 +209,14 @@
         body: Bytes,
     ) -> Option<StatusCode> {
         self.http
-            .call(method, self.address, path, body, MOST_BYTES, ORDER_TIMEOUT)
+            .call(
+                method,
+                self.address,
+                path,
+                body,
+                MAX_ANSWER_BYTES,
+                ORDER_TIMEOUT,
+            )
             .await
             .ok()
             .map(|answer| answer.status)
