--- a/crates/raildale/src/trace.rs
+++ b/crates/raildale/src/trace.rs
@@ -1,10 +1,10 @@
-//! Spans: one for each hop of a request, in W3C trace context.
+//! Spans, one for each hop of a request, with W3C trace contexts.
 
 use std::{sync::Arc, time::Instant};
 
 use serde_json::json;
 
-/// The place of a span in its trace.
+/// The ids of a span and its trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceContext {
     trace_id: u128,
@@ -12,27 +12,27 @@
 }
 
 impl TraceContext {
-    /// Reads a `traceparent`; a malformed one starts a new trace, as the
-    /// standard asks.
+    /// Parses a `traceparent`. Returns `None` if it is malformed, in which
+    /// case the standard requires a new trace.
     pub fn parse(traceparent: &str) -> Option<TraceContext> {
         let mut fields = traceparent.split('-');
         let version = fields.next()?;
         let trace_id = u128::from_str_radix(fields.next()?, 16).ok()?;
         let span_id = u64::from_str_radix(fields.next()?, 16).ok()?;
-        let is_sound = version == "00"
+        let is_valid = version == "00"
             && traceparent.len() == 55
             && trace_id != 0
             && span_id != 0;
-        is_sound.then_some(TraceContext { trace_id, span_id })
+        is_valid.then_some(TraceContext { trace_id, span_id })
     }
 
-    /// The `traceparent` for the next hop.
+    /// Returns the `traceparent` for the next hop.
     pub fn to_traceparent(self) -> String {
         format!("00-{:032x}-{:016x}-01", self.trace_id, self.span_id)
     }
 }
 
-/// A span that is open.
+/// An open span.
 #[derive(Debug)]
 pub struct Span {
     name: &'static str,
@@ -40,16 +40,17 @@
     parent: Option<u64>,
     context: TraceContext,
     start: Instant,
-    is_on: bool,
+    is_enabled: bool,
 }
 
 impl Span {
-    /// Opens a span under `traceparent`, or as the root of a new trace.
+    /// Opens a span under `traceparent`, or as the root of a new trace if it
+    /// is malformed. The span is logged only if `is_enabled`.
     pub fn new(
         name: &'static str,
         process: &Arc<str>,
         traceparent: &str,
-        is_on: bool,
+        is_enabled: bool,
     ) -> Span {
         let parent = TraceContext::parse(traceparent);
         let trace_id =
@@ -61,18 +62,18 @@
             parent: parent.map(|parent| parent.span_id),
             context: TraceContext { trace_id, span_id },
             start: Instant::now(),
-            is_on,
+            is_enabled,
         }
     }
 
-    /// Where the span is in its trace.
+    /// Returns the trace context of the span.
     pub fn context(&self) -> TraceContext {
         self.context
     }
 
-    /// Closes the span with the number of a result code.
+    /// Closes the span with the number of a result code and logs it.
     pub fn end(self, code: u32) {
-        if !self.is_on {
+        if !self.is_enabled {
             return;
         }
         let fields = json!({
