--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -262,8 +262,8 @@
         }
     }
 
-    /// Handles the end of a connection. If a newer one has replaced it, the end
-    /// is only logged.
+    /// Handles the end of a connection. If a newer one has replaced it, the
+    /// end is only logged.
     fn link_down(&mut self, name: Name, side: Side, id: u64) {
         self.log(LogEvent::PeerDown, &format!("{name}, {side:?}"));
         let is_current = |link: &Option<LinkHandle>| {
