--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -61,7 +61,7 @@
         reply: mpsc::UnboundedSender<Reply>,
     },
     /// An event without a response.
-    Tell(Event),
+    Notify(Event),
     /// A query for the status of the process.
     Status(oneshot::Sender<Box<Status>>),
 }
@@ -267,7 +267,7 @@
                 self.replies.insert(request, reply);
                 self.reduce(event);
             }
-            Input::Tell(event) => {
+            Input::Notify(event) => {
                 if let Event::CallerGone(request) = &event {
                     self.replies.remove(request);
                 }
@@ -433,7 +433,7 @@
         tokio::spawn(async move {
             let manifest = origin.manifest(&origin_path).await;
             let read = Event::ManifestRead { digest, manifest };
-            let _ = inputs.send(Input::Tell(read));
+            let _ = inputs.send(Input::Notify(read));
         });
     }
 
--- a/crates/raildale/src/http_api/admin.rs
+++ b/crates/raildale/src/http_api/admin.rs
@@ -258,7 +258,7 @@
         Ok(_) if *name == *api.process => {
             let _ = api
                 .inputs
-                .send(crate::entry_daemon::Input::Tell(Event::Leave));
+                .send(crate::entry_daemon::Input::Notify(Event::Leave));
             answers::coded(Code::Accepted, "")
         }
         Ok(_) => {
--- a/crates/raildale/src/http_api/mod.rs
+++ b/crates/raildale/src/http_api/mod.rs
@@ -136,7 +136,7 @@
     fn drop(&mut self) {
         if !self.is_over {
             let gone = Event::CallerGone(self.request);
-            let _ = self.inputs.send(Input::Tell(gone));
+            let _ = self.inputs.send(Input::Notify(gone));
         }
     }
 }
