--- a/crates/raildale/src/settings_write.rs
+++ b/crates/raildale/src/settings_write.rs
@@ -76,8 +76,9 @@
             // if the platform has been restored since. A stale read leads to a
             // conflict.
             Step::Write { expected } => {
-                let least = change.in_force.max(expected);
-                let base = stored.base.max(least.saturating_sub(version));
+                let min_revision = change.in_force.max(expected);
+                let base =
+                    stored.base.max(min_revision.saturating_sub(version));
                 let next = successor(&stored, &change, base);
                 let value = serde_json::to_value(&next).unwrap_or_default();
                 match platform.update(SETTINGS_KEY, version, &value).await {
