--- a/crates/raildale/src/http_api/admin.rs
+++ b/crates/raildale/src/http_api/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask: settings, status, draining.
+//! Handlers for operators: settings, status, draining.
 
 use gotham::{
     handler::HandlerResult,
@@ -28,35 +28,36 @@
     status::Status,
 };
 
-/// How a change is to be applied.
+/// The query parameters of a change of the settings.
 #[derive(Deserialize, StateData, StaticResponseExtender)]
 pub(super) struct ApplyQuery {
-    /// The revision that the author saw.
+    /// The revision that the change is based on.
     expected: Option<u64>,
-    /// Whether only the difference is wanted.
+    /// Whether to return the difference without applying the change.
     dry_run: Option<bool>,
-    /// Why.
+    /// The reason for the change.
     reason: Option<String>,
-    /// The author's own id of this change, so that a repeated call is one.
+    /// The author's id of the change, so that a repeated call applies it once.
     operation: Option<String>,
 }
 
-/// Which model is meant.
+/// The query parameters that select a model.
 #[derive(Deserialize, StateData, StaticResponseExtender)]
 pub(super) struct ModelQuery {
     /// `organisation/model`.
     model: String,
 }
 
-/// Who asks, and what may be seen.
-struct Asker {
+/// The authenticated operator and its permissions.
+struct Requester {
     name: String,
     can_edit: bool,
+    /// The only organisation in its scope; `None` for all.
     organisation: Option<String>,
 }
 
-impl Asker {
-    fn sees(&self, organisation: &str) -> bool {
+impl Requester {
+    fn can_see(&self, organisation: &str) -> bool {
         self.organisation.as_deref().is_none_or(|own| own == organisation)
     }
 }
@@ -71,9 +72,9 @@
 pub(super) async fn settings(state: State) -> HandlerResult {
     let api = api_of(&state);
     let status = api.status().await;
-    let response = match asker(&api, &state, &status) {
-        Ok(asker) => {
-            let text = match &asker.organisation {
+    let response = match authenticate(&api, &state, &status) {
+        Ok(requester) => {
+            let text = match &requester.organisation {
                 None => status.settings_text.clone(),
                 Some(own) => settings_text::organisation_part(
                     &status.settings_text,
@@ -81,9 +82,9 @@
                 ),
             };
             let value = json!({ "revision": status.revision, "text": text });
-            answers::answer(200, &value)
+            answers::json_response(200, &value)
         }
-        Err(code) => answers::coded(code, ""),
+        Err(code) => answers::code_response(code, ""),
     };
     Ok((state, response))
 }
@@ -93,15 +94,15 @@
     let query = ApplyQuery::take_from(&mut state);
     let body = body_of(&mut state).await;
     let status = api.status().await;
-    let asker = asker(&api, &state, &status);
-    let response = match (asker, body) {
-        (Err(code), _) | (_, Err(code)) => answers::coded(code, ""),
-        (Ok(asker), Ok(_)) if !asker.can_edit => {
-            answers::coded(Code::Forbidden, "")
+    let requester = authenticate(&api, &state, &status);
+    let response = match (requester, body) {
+        (Err(code), _) | (_, Err(code)) => answers::code_response(code, ""),
+        (Ok(requester), Ok(_)) if !requester.can_edit => {
+            answers::code_response(Code::Forbidden, "")
         }
-        (Ok(asker), Ok(body)) => {
+        (Ok(requester), Ok(body)) => {
             let text = String::from_utf8_lossy(&body).into_owned();
-            change(&api, query, asker, text, &status).await
+            change(&api, query, requester, text, &status).await
         }
     };
     Ok((state, response))
@@ -110,11 +111,11 @@
 async fn change(
     api: &Api,
     query: ApplyQuery,
-    asker: Asker,
+    requester: Requester,
     text: String,
     status: &Status,
 ) -> Response<Body> {
-    let text = match &asker.organisation {
+    let text = match &requester.organisation {
         None => text,
         Some(own) => {
             match settings_text::replace_organisation_part(
@@ -124,16 +125,19 @@
             ) {
                 Ok(text) => text,
                 Err(error) => {
-                    return answers::coded(Code::Forbidden, error.detail());
+                    return answers::code_response(
+                        Code::Forbidden,
+                        error.detail(),
+                    );
                 }
             }
         }
     };
     if let Err(error) = settings_text::parse(&text) {
-        return answers::coded(Code::SettingsInvalid, error.detail());
+        return answers::code_response(Code::SettingsInvalid, error.detail());
     }
     if text.len() > settings_text::MAX_BYTES {
-        return answers::coded(Code::SettingsTooLarge, "");
+        return answers::code_response(Code::SettingsTooLarge, "");
     }
     let difference = settings_text::difference(&status.settings_text, &text);
     if query.dry_run == Some(true) {
@@ -141,17 +145,17 @@
             "revision": status.revision,
             "difference": difference,
         });
-        return answers::answer(200, &value);
+        return answers::json_response(200, &value);
     }
-    // A scoped change is merged with the text that this process has in
-    // force, so it must not go on top of any other.
-    let merged = asker.organisation.is_some().then_some(status.revision);
+    // A change of one organisation is merged into the text in force at this
+    // process, so it must not be applied to any other revision.
+    let merged = requester.organisation.is_some().then_some(status.revision);
     let operation = query
         .operation
         .unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
     let change = Change {
         text,
-        author: asker.name,
+        author: requester.name,
         reason: query.reason.unwrap_or_default(),
         time_ms: api.clock.now_ms(),
         operation,
@@ -169,16 +173,16 @@
         "other_author": written.other_author,
         "other_difference": written.other_difference,
     });
-    answers::answer(code.http_status(), &value)
+    answers::json_response(code.http_status(), &value)
 }
 
 pub(super) async fn history(state: State) -> HandlerResult {
     let api = api_of(&state);
     let status = api.status().await;
-    let response = match asker(&api, &state, &status) {
-        Err(code) => answers::coded(code, ""),
-        Ok(asker) if asker.organisation.is_some() => {
-            answers::coded(Code::Forbidden, "")
+    let response = match authenticate(&api, &state, &status) {
+        Err(code) => answers::code_response(code, ""),
+        Ok(requester) if requester.organisation.is_some() => {
+            answers::code_response(Code::Forbidden, "")
         }
         Ok(_) => match api.platform.read(SETTINGS_KEY).await {
             CallResult::Answered(object) => {
@@ -188,9 +192,9 @@
                     "revision": stored.revision(object.version),
                     "history": stored.history,
                 });
-                answers::answer(200, &value)
+                answers::json_response(200, &value)
             }
-            _ => answers::coded(Code::PlatformDown, ""),
+            _ => answers::code_response(Code::PlatformDown, ""),
         },
     };
     Ok((state, response))
@@ -200,17 +204,17 @@
     let api = api_of(&state);
     let query = ModelQuery::take_from(&mut state);
     let status = api.status().await;
-    let response = match asker(&api, &state, &status) {
-        Err(code) => answers::coded(code, ""),
-        Ok(asker) => {
+    let response = match authenticate(&api, &state, &status) {
+        Err(code) => answers::code_response(code, ""),
+        Ok(requester) => {
             let organisation = query.model.split('/').next().unwrap_or("");
             let tree = tree_of(&status);
-            let rules = asker
-                .sees(organisation)
+            let rules = requester
+                .can_see(organisation)
                 .then(|| tree.effective(&query.model))
                 .flatten();
             match rules {
-                None => answers::coded(Code::NotFound, ""),
+                None => answers::code_response(Code::NotFound, ""),
                 Some(rules) => {
                     let rows: Vec<_> = rules
                         .rows()
@@ -223,7 +227,7 @@
                             })
                         })
                         .collect();
-                    answers::answer(200, &json!({ "rules": rows }))
+                    answers::json_response(200, &json!({ "rules": rows }))
                 }
             }
         }
@@ -234,13 +238,13 @@
 pub(super) async fn status(state: State) -> HandlerResult {
     let api = api_of(&state);
     let mut status = api.status().await;
-    let response = match asker(&api, &state, &status) {
-        Err(code) => answers::coded(code, ""),
-        Ok(asker) => {
-            status.restrict_to(asker.organisation.as_deref());
+    let response = match authenticate(&api, &state, &status) {
+        Err(code) => answers::code_response(code, ""),
+        Ok(requester) => {
+            status.restrict_to(requester.organisation.as_deref());
             status.settings_text.clear();
             let value = serde_json::to_value(&status).unwrap_or_default();
-            answers::answer(200, &value)
+            answers::json_response(200, &value)
         }
     };
     Ok((state, response))
@@ -250,33 +254,43 @@
     let api = api_of(&state);
     let name = NamePath::take_from(&mut state).name;
     let status = api.status().await;
-    let response = match asker(&api, &state, &status) {
-        Err(code) => answers::coded(code, ""),
-        Ok(asker) if !asker.can_edit || asker.organisation.is_some() => {
-            answers::coded(Code::Forbidden, "")
+    let response = match authenticate(&api, &state, &status) {
+        Err(code) => answers::code_response(code, ""),
+        Ok(requester)
+            if !requester.can_edit || requester.organisation.is_some() =>
+        {
+            answers::code_response(Code::Forbidden, "")
         }
         Ok(_) if *name == *api.process => {
             let _ = api
                 .inputs
                 .send(crate::entry_daemon::Input::Notify(Event::Leave));
-            answers::coded(Code::Accepted, "")
+            answers::code_response(Code::Accepted, "")
         }
         Ok(_) => {
             let agent = name.as_str().into();
             let mut call =
                 api.call(|request| Event::DrainAgent { request, agent });
             match call.next().await {
-                Reply::Final(last) => answers::last(&last),
-                Reply::Piece(_) => answers::coded(Code::Unknown, ""),
+                Reply::Final(last) => answers::final_response(&last),
+                Reply::Piece(_) => answers::code_response(Code::Unknown, ""),
             }
         }
     };
     Ok((state, response))
 }
 
-/// Finds the operator behind the key. Before there are operators, the
-/// bootstrap key of the settings file opens everything.
-fn asker(api: &Api, state: &State, status: &Status) -> Result<Asker, Code> {
+/// Returns the operator to whom the request's key belongs. As long as the
+/// settings list no operators, the bootstrap key has all permissions.
+///
+/// # Errors
+///
+/// [`Code::Unauthorised`] if the key is missing or unknown.
+fn authenticate(
+    api: &Api,
+    state: &State,
+    status: &Status,
+) -> Result<Requester, Code> {
     let hash = key_hash(state).ok_or(Code::Unauthorised)?;
     let tree = tree_of(status);
     let bootstrap = api
@@ -285,7 +299,7 @@
         .and_then(Digest::from_hex)
         .filter(|_| tree.operators.is_empty());
     if bootstrap == Some(hash) {
-        return Ok(Asker {
+        return Ok(Requester {
             name: "bootstrap".into(),
             can_edit: true,
             organisation: None,
@@ -299,7 +313,7 @@
     tree.operators
         .iter()
         .find(|(_, operator)| holds(operator))
-        .map(|(name, operator)| Asker {
+        .map(|(name, operator)| Requester {
             name: name.clone(),
             can_edit: operator.role == Role::Editor,
             organisation: operator.organisation.clone(),
--- a/crates/raildale/src/http_api/answers.rs
+++ b/crates/raildale/src/http_api/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: JSON with a number, and whether the request ran.
+//! JSON responses with a result code and whether the request ran.
 
 use bytes::Bytes;
 use gotham::{
@@ -9,8 +9,8 @@
 use raildale_core::{Code, entry::FinalResponse};
 use serde_json::{Value, json};
 
-/// A whole answer as JSON.
-pub(super) fn answer(status: u16, value: &Value) -> Response<Body> {
+/// Returns a complete response with a JSON body.
+pub(super) fn json_response(status: u16, value: &Value) -> Response<Body> {
     let body = Full::new(Bytes::from(value.to_string()))
         .map_err(|never| match never {})
         .boxed_unsync();
@@ -18,29 +18,29 @@
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    let json = "application/json".parse().expect("it is a header's value");
+    let json = "application/json".parse().expect("a valid header value");
     response.headers_mut().insert("content-type", json);
     response
 }
 
-/// A numbered answer with a detail for people.
-pub(super) fn coded(code: Code, detail: &str) -> Response<Body> {
+/// Returns a response for a result code, with a detail message for people.
+pub(super) fn code_response(code: Code, detail: &str) -> Response<Body> {
     let value = json!({
         "code": code.number(),
         "ran": code.ran().as_str(),
         "text": code.text(),
         "detail": detail,
     });
-    answer(code.http_status(), &value)
+    json_response(code.http_status(), &value)
 }
 
-/// The last word on a request.
-pub(super) fn last(last: &FinalResponse) -> Response<Body> {
-    let value = last_value(last);
-    let mut response = answer(last.code.http_status(), &value);
+/// Returns the response for the final result of a request.
+pub(super) fn final_response(last: &FinalResponse) -> Response<Body> {
+    let value = final_value(last);
+    let mut response = json_response(last.code.http_status(), &value);
     let headers = response.headers_mut();
     if last.retry_after_ms > 0 {
-        // The header knows whole seconds only; the body has the exact time.
+        // The header has whole seconds only; the body has the exact time.
         let seconds = last.retry_after_ms.div_ceil(1000);
         headers.insert("retry-after", seconds.into());
     }
@@ -53,8 +53,9 @@
     response
 }
 
-/// The last word as JSON, also the last line of a streamed answer.
-pub(super) fn last_value(last: &FinalResponse) -> Value {
+/// Returns the final result of a request as JSON, which is also the last line
+/// of a streamed answer.
+pub(super) fn final_value(last: &FinalResponse) -> Value {
     json!({
         "code": last.code.number(),
         "ran": last.code.ran().as_str(),
--- a/crates/raildale/src/http_api/callers.rs
+++ b/crates/raildale/src/http_api/callers.rs
@@ -1,4 +1,5 @@
-//! What callers ask: where to go, run keys, requests, outcomes.
+//! Handlers for callers: entry host addresses, run keys, requests and the
+//! outcomes of runs.
 
 use std::{io, time::Instant};
 
@@ -24,10 +25,10 @@
 use super::{Api, Call, NamePath, answers, api_of, body_of, key_hash};
 use crate::{entry_daemon::Reply, trace::Span};
 
-/// Bytes of a prompt's start that decide its prefix.
+/// The number of bytes at a prompt's start that determine its prefix hash.
 const PREFIX_BYTES: usize = 64;
 
-/// Tokens of an answer when the caller names no number.
+/// The maximum number of tokens of an answer if the caller gives none.
 const DEFAULT_TOKENS: u32 = 64;
 
 /// The body of a request.
@@ -56,47 +57,47 @@
     model: String,
 }
 
-pub(super) async fn where_to_go(state: State) -> HandlerResult {
+pub(super) async fn entry_addresses(state: State) -> HandlerResult {
     let api = api_of(&state);
     let status = api.status().await;
     let value = json!({
         "addresses": status.addresses,
         "ttl_ms": WHERE_TTL_MS,
     });
-    Ok((state, answers::answer(200, &value)))
+    Ok((state, answers::json_response(200, &value)))
 }
 
 pub(super) async fn issue_key(mut state: State) -> HandlerResult {
     let api = api_of(&state);
     let Some(key_hash) = key_hash(&state) else {
-        return Ok((state, answers::coded(Code::Unauthorised, "")));
+        return Ok((state, answers::code_response(Code::Unauthorised, "")));
     };
-    let body = match read::<KeyBody>(&mut state).await {
+    let body = match read_json::<KeyBody>(&mut state).await {
         Ok(body) => body,
-        Err((code, fault)) => {
-            return Ok((state, answers::coded(code, &fault)));
+        Err((code, detail)) => {
+            return Ok((state, answers::code_response(code, &detail)));
         }
     };
     let model = body.model.as_str().into();
     let call =
         api.call(|request| Event::IssueKey { request, key_hash, model });
-    Ok((state, whole(call).await.0))
+    Ok((state, whole_response(call).await.0))
 }
 
 pub(super) async fn submit(mut state: State) -> HandlerResult {
     let api = api_of(&state);
     let Some(key_hash) = key_hash(&state) else {
-        return Ok((state, answers::coded(Code::Unauthorised, "")));
+        return Ok((state, answers::code_response(Code::Unauthorised, "")));
     };
-    let body = match read::<RequestBody>(&mut state).await {
+    let body = match read_json::<RequestBody>(&mut state).await {
         Ok(body) => body,
-        Err((code, fault)) => {
-            return Ok((state, answers::coded(code, &fault)));
+        Err((code, detail)) => {
+            return Ok((state, answers::code_response(code, &detail)));
         }
     };
     let Some(priority) = Priority::from_word(&body.priority) else {
-        let fault = "priority is urgent, normal or bulk";
-        return Ok((state, answers::coded(Code::Malformed, fault)));
+        let detail = "priority must be urgent, normal or bulk";
+        return Ok((state, answers::code_response(Code::Malformed, detail)));
     };
     let span = span(&api, &state);
     let submission = submission(body, key_hash, priority, &span);
@@ -104,10 +105,10 @@
     let submission = Box::new(submission);
     let call = api.call(|request| Event::Submit { request, submission });
     let response = match is_stream {
-        true => streamed(call, api, span).await,
+        true => stream_response(call, api, span).await,
         false => {
             let start = Instant::now();
-            let (response, code) = whole(call).await;
+            let (response, code) = whole_response(call).await;
             finish(&api, span, start, code);
             response
         }
@@ -115,18 +116,18 @@
     Ok((state, response))
 }
 
-pub(super) async fn ask(state: State) -> HandlerResult {
-    outcome(state, false).await
+pub(super) async fn query_run(state: State) -> HandlerResult {
+    run_outcome(state, false).await
 }
 
-pub(super) async fn revoke(state: State) -> HandlerResult {
-    outcome(state, true).await
+pub(super) async fn revoke_run(state: State) -> HandlerResult {
+    run_outcome(state, true).await
 }
 
-async fn outcome(mut state: State, revoke: bool) -> HandlerResult {
+async fn run_outcome(mut state: State, revoke: bool) -> HandlerResult {
     let api = api_of(&state);
     let Some(key_hash) = key_hash(&state) else {
-        return Ok((state, answers::coded(Code::Unauthorised, "")));
+        return Ok((state, answers::code_response(Code::Unauthorised, "")));
     };
     let run_key = NamePath::take_from(&mut state).name;
     let call = api.call(|request| Event::QueryRun {
@@ -135,7 +136,7 @@
         run_key,
         revoke,
     });
-    Ok((state, whole(call).await.0))
+    Ok((state, whole_response(call).await.0))
 }
 
 fn submission(
@@ -159,8 +160,8 @@
     }
 }
 
-/// A hash of the model and the prompt's start. The router mixes models of
-/// all organisations in one table, so the model is part of it.
+/// Returns a hash of the model and the prompt's start. The model is included
+/// because the router keeps models of all organisations in one table.
 fn prefix(model: &str, prompt: &str) -> u64 {
     let start = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     let digest = Digest::of(&[model.as_bytes(), b"\0", start].concat());
@@ -168,24 +169,29 @@
     u64::from_le_bytes(bytes.expect("a digest has 32 bytes"))
 }
 
-async fn whole(mut call: Call) -> (Response<Body>, Code) {
+async fn whole_response(mut call: Call) -> (Response<Body>, Code) {
     loop {
         if let Reply::Final(last) = call.next().await {
-            return (answers::last(&last), last.code);
+            return (answers::final_response(&last), last.code);
         }
     }
 }
 
-/// A streamed answer: JSON lines, the last with `"end": true`. What comes
-/// before any piece decides the status, so that a refusal is one.
-async fn streamed(mut call: Call, api: Api, span: Span) -> Response<Body> {
+/// Returns a streamed answer: JSON lines, the last with `"end": true`. If the
+/// final result arrives before any piece, it is returned as a whole response,
+/// so that a refusal has its own status code.
+async fn stream_response(
+    mut call: Call,
+    api: Api,
+    span: Span,
+) -> Response<Body> {
     let start = Instant::now();
     let first = call.next().await;
     let data = match first {
         Reply::Piece(data) => data,
         Reply::Final(last) => {
             finish(&api, span, start, last.code);
-            return answers::last(&last);
+            return answers::final_response(&last);
         }
     };
     api.metrics.record("first_piece_us", "", micros(start));
@@ -194,21 +200,21 @@
         let (mut call, api, span, start) = state?;
         match call.next().await {
             Reply::Piece(data) => {
-                Some((line(&data), Some((call, api, span, start))))
+                Some((piece_line(&data), Some((call, api, span, start))))
             }
             Reply::Final(last) => {
                 finish(&api, span, start, last.code);
-                let text = format!("{}\n", answers::last_value(&last));
+                let text = format!("{}\n", answers::final_value(&last));
                 Some((Ok(Frame::data(Bytes::from(text))), None))
             }
         }
     });
-    let first = stream::iter([line(&data)]);
+    let first = stream::iter([piece_line(&data)]);
     let lines = futures_util::StreamExt::chain(first, rest);
     Response::new(StreamBody::new(lines).boxed_unsync())
 }
 
-fn line(data: &[u8]) -> Result<Frame<Bytes>, io::Error> {
+fn piece_line(data: &[u8]) -> Result<Frame<Bytes>, io::Error> {
     let piece = json!({ "piece": String::from_utf8_lossy(data) });
     Ok(Frame::data(Bytes::from(format!("{piece}\n"))))
 }
@@ -231,7 +237,7 @@
     start.elapsed().as_micros() as u64
 }
 
-async fn read<T: serde::de::DeserializeOwned>(
+async fn read_json<T: serde::de::DeserializeOwned>(
     state: &mut State,
 ) -> Result<T, (Code, String)> {
     let body = body_of(state).await.map_err(|code| (code, String::new()))?;
--- a/crates/raildale/src/http_api/mod.rs
+++ b/crates/raildale/src/http_api/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators, on gotham.
+//! The HTTP API for callers and operators, built on gotham.
 
 mod admin;
 mod answers;
@@ -38,10 +38,10 @@
     status::Status,
 };
 
-/// Bytes of a body at most.
+/// The maximum size of a request body in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What the handlers share.
+/// The state shared by the handlers.
 #[derive(Clone, Debug)]
 pub struct Api {
     inputs: mpsc::UnboundedSender<Input>,
@@ -54,18 +54,18 @@
     next_request: Arc<AtomicU64>,
 }
 
-/// The same, as gotham hands it to a handler.
+/// An [`Api`] in gotham's state.
 #[derive(Clone, StateData)]
 struct Shared(Arc<AssertUnwindSafe<Api>>);
 
-/// A name in a path.
+/// The path parameter `name`: a run key or the name of a process.
 #[derive(Deserialize, StateData, StaticResponseExtender)]
 struct NamePath {
     name: String,
 }
 
 impl Api {
-    /// The handlers of one entry host.
+    /// Creates the shared state of the handlers of an entry host.
     pub fn new(
         inputs: mpsc::UnboundedSender<Input>,
         platform: Platform,
@@ -87,13 +87,19 @@
         }
     }
 
-    /// Sends an event in and returns where its answer comes.
+    /// Sends an event to the shell and returns the call that receives the
+    /// response.
     fn call(&self, event: impl FnOnce(u64) -> Event) -> Call {
         let request = self.next_request.fetch_add(1, Ordering::Relaxed);
         let (reply, replies) = mpsc::unbounded_channel();
         let event = event(request);
         let _ = self.inputs.send(Input::Call { request, event, reply });
-        Call { request, replies, inputs: self.inputs.clone(), is_over: false }
+        Call {
+            request,
+            replies,
+            inputs: self.inputs.clone(),
+            is_finished: false,
+        }
     }
 
     async fn status(&self) -> Box<Status> {
@@ -103,14 +109,14 @@
     }
 }
 
-/// A call on its way. Dropped before its last word, it tells the reducer
-/// that the caller went away.
+/// A call in progress. If it is dropped before the final reply, the reducer is
+/// notified that the caller is gone.
 #[derive(Debug)]
 struct Call {
     request: u64,
     replies: mpsc::UnboundedReceiver<Reply>,
     inputs: mpsc::UnboundedSender<Input>,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl Call {
@@ -118,12 +124,12 @@
         match self.replies.recv().await {
             Some(Reply::Piece(data)) => Reply::Piece(data),
             Some(Reply::Final(last)) => {
-                self.is_over = true;
+                self.is_finished = true;
                 Reply::Final(last)
             }
-            // The process stops; what it knew is gone with it.
+            // The process stops before it has sent the final reply.
             None => {
-                self.is_over = true;
+                self.is_finished = true;
                 Reply::Final(raildale_core::entry::FinalResponse::new(
                     SHUTDOWN_CODE,
                 ))
@@ -134,16 +140,16 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             let gone = Event::CallerGone(self.request);
             let _ = self.inputs.send(Input::Notify(gone));
         }
     }
 }
 
-/// Serves callers and operators until it is ended.
-pub async fn serve(listener: TcpListener, api: Api, ending: Arc<Shutdown>) {
-    http_server::serve(listener, router(api), &ending).await
+/// Serves callers and operators until shutdown.
+pub async fn serve(listener: TcpListener, api: Api, shutdown: Arc<Shutdown>) {
+    http_server::serve(listener, router(api), &shutdown).await
 }
 
 fn router(api: Api) -> Router {
@@ -154,17 +160,17 @@
     build_router(chain, pipelines, |route| {
         route.get("/metrics").to(admin::metrics);
         route.scope("/v1", |route| {
-            route.get("/where").to_async(callers::where_to_go);
+            route.get("/where").to_async(callers::entry_addresses);
             route.post("/run-keys").to_async(callers::issue_key);
             route.post("/requests").to_async(callers::submit);
             route
                 .get("/runs/:name")
                 .with_path_extractor::<NamePath>()
-                .to_async(callers::ask);
+                .to_async(callers::query_run);
             route
                 .delete("/runs/:name")
                 .with_path_extractor::<NamePath>()
-                .to_async(callers::revoke);
+                .to_async(callers::revoke_run);
         });
         route.scope("/admin/v1", |route| {
             route.get("/settings").to_async(admin::settings);
@@ -190,7 +196,8 @@
     Api::clone(&Shared::borrow_from(state).0)
 }
 
-/// The digest of the key in `Authorization: Bearer`.
+/// Returns the digest of the key in `Authorization: Bearer`; `None` if there
+/// is no key.
 fn key_hash(state: &State) -> Option<Digest> {
     let headers = HeaderMap::borrow_from(state);
     let value = headers.get("authorization")?.to_str().ok()?;
