--- a/crates/raildale/src/logs/bound.rs
+++ b/crates/raildale/src/logs/limiter.rs
@@ -23,7 +23,7 @@
 
 /// Lines of a window, by the number of their event.
 #[derive(Debug, Default)]
-pub struct LineBound {
+pub struct LineLimiter {
     window_ms: u64,
     lines: HashMap<u32, u32>,
     /// Lines left out that nobody was told of yet.
@@ -40,10 +40,10 @@
     pub left_out: Vec<(u32, u32)>,
 }
 
-impl LineBound {
+impl LineLimiter {
     /// Nothing counted yet.
-    pub fn new() -> LineBound {
-        LineBound::default()
+    pub fn new() -> LineLimiter {
+        LineLimiter::default()
     }
 
     /// Counts a line of an event.
--- a/crates/raildale/src/logs/mod.rs
+++ b/crates/raildale/src/logs/mod.rs
@@ -1,9 +1,9 @@
 //! Structured logs: one JSON object a line, on standard error or output.
 //!
-//! * [`bound`]: how many lines of each kind are written in a second.
+//! * [`limiter`]: how many lines of each kind are written in a second.
 //! * [`queue`]: lines that wait for standard output.
 
-pub mod bound;
+pub mod limiter;
 pub mod queue;
 
 use std::{
@@ -17,7 +17,7 @@
 use serde_json::json;
 
 use self::{
-    bound::{LineBound, NO_EVENT, Verdict},
+    limiter::{LineLimiter, NO_EVENT, Verdict},
     queue::QueuedStdout,
 };
 use crate::{
@@ -29,7 +29,7 @@
 const EVENT_TARGET: &str = "event";
 
 /// The lines of this process, whichever thread writes them.
-static LINES: LazyLock<Mutex<LineBound>> = LazyLock::new(Mutex::default);
+static LINES: LazyLock<Mutex<LineLimiter>> = LazyLock::new(Mutex::default);
 
 /// Counts a line of an event; says whether it is to be written.
 fn count(number: u32) -> Verdict {
--- a/crates/raildale/tests/logs.rs
+++ b/crates/raildale/tests/logs.rs
@@ -1,7 +1,7 @@
 //! Log lines are bounded, and a reader that stalls holds nobody up.
 
 use raildale::logs::{
-    bound::{LineBound, NO_EVENT},
+    limiter::{LineLimiter, NO_EVENT},
     queue::LineQueue,
 };
 use raildale_core::LogEvent;
@@ -10,7 +10,7 @@
 
 #[test]
 fn lines_of_one_event_are_bounded_and_those_left_out_are_counted() {
-    let mut bound = LineBound::new();
+    let mut bound = LineLimiter::new();
     let refused = LogEvent::RequestRefused.number();
     let done = LogEvent::RequestDone.number();
     let mut written = [0, 0];
