--- a/crates/raildale/src/cli/daemon.rs
+++ b/crates/raildale/src/cli/daemon.rs
@@ -1,4 +1,4 @@
-//! The command line of a daemon: a settings file, and whether only to check.
+//! The command line of a daemon.
 
 use std::{future::Future, path::PathBuf, process::ExitCode};
 
@@ -14,7 +14,7 @@
     signals::Signals,
 };
 
-/// What a daemon is told on its command line.
+/// The arguments of a daemon.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub struct DaemonArgs {
@@ -25,7 +25,7 @@
     pub check: bool,
 }
 
-/// Exit code for a settings file that does not check.
+/// The exit code for an invalid settings file.
 const EXIT_CONFIG: u8 = 2;
 
 /// Runs `raildale-entry`.
@@ -47,9 +47,9 @@
     T: DeserializeOwned,
     F: Future<Output = Result<(), Error>>,
 {
-    // Before anything else, so that no signal ends the process while it
-    // starts.
-    let signals = match listen_to_signals() {
+    // The handlers are installed first, so that no signal ends the process
+    // during its start.
+    let signals = match install_signal_handlers() {
         Ok(signals) => signals,
         Err(error) => return fail(&error, 1),
     };
@@ -58,7 +58,7 @@
         Err(error) => return fail(&error, EXIT_CONFIG),
     };
     if args.check {
-        println!("{}: settings check", args.settings.display());
+        println!("{}: settings are valid", args.settings.display());
         return ExitCode::SUCCESS;
     }
     let node = node(&file);
@@ -76,10 +76,11 @@
     }
 }
 
-/// Listens in a runtime of its own: how many threads the other one has stands
-/// in the settings. Handlers belong to the process, and what comes until the
-/// other one runs is kept.
-fn listen_to_signals() -> Result<Signals, Error> {
+/// Installs the signal handlers in a temporary runtime, since the number of
+/// threads of the main one is in the settings file, which is not read yet.
+/// Handlers are process-wide, and signals that arrive before the main runtime
+/// runs are kept.
+fn install_signal_handlers() -> Result<Signals, Error> {
     let runtime = runtime(1)?;
     runtime.block_on(async { Signals::new() })
 }
--- a/crates/raildale/src/cli/operator.rs
+++ b/crates/raildale/src/cli/operator.rs
@@ -1,4 +1,4 @@
-//! `raildale`: the operators' command.
+//! `raildale`: the command-line tool for operators.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -15,14 +15,14 @@
     status::Status,
 };
 
-/// How long an entry host may take. A write that the platform does not
-/// answer takes several tries.
+/// Time-out of a call to an entry host. A write takes several attempts if the
+/// platform does not answer.
 const TIMEOUT: Duration = Duration::from_secs(40);
 
-/// How often `versions watch` looks.
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+/// The polling interval of `versions watch`.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Cells of a progress bar.
+/// The number of characters of a progress bar.
 const BAR_CELLS: usize = 30;
 
 /// Drives a raildale fleet through one of its entry hosts
@@ -106,8 +106,8 @@
     Watch,
 }
 
-/// Runs the command; exit code 0 is success, 1 a refusal, whose number is
-/// printed first, 2 wrong use.
+/// Runs the command and returns its exit code: 0 for success and 1 for an
+/// error, which is printed with its code's number first.
 pub fn run(args: &OperatorArgs) -> ExitCode {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -206,7 +206,7 @@
         if is_whole {
             return Ok("every version is whole".into());
         }
-        tokio::time::sleep(WATCH_EVERY).await;
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
 }
 
@@ -237,7 +237,7 @@
         path: &str,
         body: &str,
     ) -> Result<Value, Error> {
-        let silent = || {
+        let no_answer = || {
             let detail = format!("{} does not answer", self.entry);
             Error::new(ErrorKind::Refused(Code::Unknown), detail)
         };
@@ -251,18 +251,18 @@
             })?;
         let exchange = async {
             let response =
-                self.http.open(request).await.map_err(|_| silent())?;
-            let is_fine = response.status().is_success();
+                self.http.open(request).await.map_err(|_| no_answer())?;
+            let is_success = response.status().is_success();
             let body = response.into_body().collect().await;
-            let bytes = body.map_err(|_| silent())?.to_bytes();
-            Ok((is_fine, bytes))
+            let bytes = body.map_err(|_| no_answer())?.to_bytes();
+            Ok((is_success, bytes))
         };
-        let (is_fine, bytes) = tokio::time::timeout(TIMEOUT, exchange)
+        let (is_success, bytes) = tokio::time::timeout(TIMEOUT, exchange)
             .await
-            .unwrap_or_else(|_| Err(silent()))?;
+            .unwrap_or_else(|_| Err(no_answer()))?;
         let value: Value =
             serde_json::from_slice(&bytes).unwrap_or(Value::Null);
-        if is_fine { Ok(value) } else { Err(refusal(&value)) }
+        if is_success { Ok(value) } else { Err(refusal(&value)) }
     }
 }
 
@@ -370,7 +370,7 @@
     out
 }
 
-/// Percent-encodes what a query cannot hold as it is.
+/// Percent-encodes the characters that are not allowed in a query.
 fn escape(text: &str) -> String {
     text.bytes()
         .map(|byte| match byte {
--- a/crates/raildale/src/logs/limiter.rs
+++ b/crates/raildale/src/logs/limiter.rs
@@ -1,67 +1,67 @@
-//! How many lines of each kind a process writes in a second.
+//! Limits the log lines that a process writes per second and event.
 //!
-//! In an overload each refused request is a line, and every line costs
-//! processor time that answers need. What is left out is counted.
+//! In an overload each refused request is a line, and each line costs
+//! processor time that answers need. Omitted lines are counted.
 
 use std::collections::HashMap;
 
 use raildale_core::LogEvent;
 
-/// Milliseconds over which lines are counted.
+/// The length of the window over which lines are counted, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
 
-/// Lines of one event in a window at most. An entry host of the users'
-/// platform takes 30 requests a second on the average and 90 in a burst.
-const LINES_MOST: u32 = 150;
+/// The maximum number of lines of one event in a window. An entry host of the
+/// users' platform takes 30 requests per second on average and 90 in a burst.
+const MAX_LINES: u32 = 150;
 
-/// The same for requests that went well: whoever looks for a cause misses
-/// these the least.
-const DONE_LINES_MOST: u32 = 60;
+/// The maximum number of lines for successful requests. It is lower because
+/// these are the least useful lines for finding the cause of a fault.
+const MAX_DONE_LINES: u32 = 60;
 
-/// The number under which lines without an event are counted.
+/// The event number under which lines without an event are counted.
 pub const NO_EVENT: u32 = 0;
 
-/// Lines of a window, by the number of their event.
+/// Counts the lines of a window by event number.
 #[derive(Debug, Default)]
 pub struct LineLimiter {
     window_ms: u64,
     lines: HashMap<u32, u32>,
-    /// Lines left out that nobody was told of yet.
-    untold: Vec<(u32, u32)>,
+    /// Counts of omitted lines, by event number, not returned yet.
+    unreported: Vec<(u32, u32)>,
 }
 
-/// What becomes of a line.
+/// The decision about a line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Whether it is written.
+    /// Whether the line is written.
     pub is_written: bool,
-    /// Events of which lines were left out in the window that has ended,
-    /// with their count.
+    /// The events of which lines were omitted in earlier windows, with the
+    /// number of lines, not yet returned by an earlier call.
     pub left_out: Vec<(u32, u32)>,
 }
 
 impl LineLimiter {
-    /// Nothing counted yet.
+    /// Creates a limiter without counts.
     pub fn new() -> LineLimiter {
         LineLimiter::default()
     }
 
-    /// Counts a line of an event.
+    /// Counts a line of an event and decides whether it is written.
     pub fn admit(&mut self, now_ms: u64, number: u32) -> Verdict {
-        self.roll(now_ms);
+        self.start_window(now_ms);
         let count = self.lines.entry(number).or_default();
         *count += 1;
-        let is_written = *count <= most(number);
-        // A line that is no event cannot bring another one along.
+        let is_written = *count <= max_lines(number);
+        // Omitted lines are only reported together with an event.
         let left_out = match number {
             NO_EVENT => Vec::new(),
-            _ => std::mem::take(&mut self.untold),
+            _ => std::mem::take(&mut self.unreported),
         };
         Verdict { is_written, left_out }
     }
 
-    /// Begins a new window if the last one is over.
-    fn roll(&mut self, now_ms: u64) {
+    /// Starts a new window if the last one is over.
+    fn start_window(&mut self, now_ms: u64) {
         if now_ms < self.window_ms + WINDOW_MS {
             return;
         }
@@ -70,16 +70,16 @@
             .lines
             .drain()
             .filter_map(|(number, count)| {
-                let over = count.saturating_sub(most(number));
+                let over = count.saturating_sub(max_lines(number));
                 (over > 0).then_some((number, over))
             })
             .collect();
         left_out.sort_unstable();
-        self.untold.append(&mut left_out);
+        self.unreported.append(&mut left_out);
     }
 }
 
-fn most(number: u32) -> u32 {
+fn max_lines(number: u32) -> u32 {
     let is_done = number == LogEvent::RequestDone.number();
-    if is_done { DONE_LINES_MOST } else { LINES_MOST }
+    if is_done { MAX_DONE_LINES } else { MAX_LINES }
 }
--- a/crates/raildale/src/logs/mod.rs
+++ b/crates/raildale/src/logs/mod.rs
@@ -1,7 +1,7 @@
-//! Structured logs: one JSON object a line, on standard error or output.
+//! Structured logs: one JSON object per line, on standard error or output.
 //!
-//! * [`limiter`]: how many lines of each kind are written in a second.
-//! * [`queue`]: lines that wait for standard output.
+//! * [`limiter`]: limits the lines of each event per second.
+//! * [`queue`]: queues lines for standard output.
 
 pub mod limiter;
 pub mod queue;
@@ -28,22 +28,22 @@
 /// The target of log records that are numbered events.
 const EVENT_TARGET: &str = "event";
 
-/// The lines of this process, whichever thread writes them.
-static LINES: LazyLock<Mutex<LineLimiter>> = LazyLock::new(Mutex::default);
+/// The line limiter of this process, shared by all threads.
+static LIMITER: LazyLock<Mutex<LineLimiter>> = LazyLock::new(Mutex::default);
 
-/// Counts a line of an event; says whether it is to be written.
-fn count(number: u32) -> Verdict {
-    let mut lines = LINES.lock().unwrap_or_else(PoisonError::into_inner);
-    lines.admit(now_ms(), number)
+/// Counts a line of an event and decides whether it is written.
+fn count_line(number: u32) -> Verdict {
+    let mut limiter = LIMITER.lock().unwrap_or_else(PoisonError::into_inner);
+    limiter.admit(now_ms(), number)
 }
 
-/// Starts the log of this process.
+/// Starts the log of this process on standard error.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Config`] if `loudness` is no level.
-pub fn start(loudness: &str) -> Result<LoggerHandle, Error> {
-    logger(loudness)?.log_to_stderr().start().map_err(bad)
+/// [`ErrorKind::Config`] if `log_level` is not a log level.
+pub fn start(log_level: &str) -> Result<LoggerHandle, Error> {
+    logger(log_level)?.log_to_stderr().start().map_err(config_error)
 }
 
 /// Starts the log of this process on standard output. Writing never waits
@@ -51,24 +51,30 @@
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Config`] if `loudness` is no level.
-pub fn start_on_stdout(loudness: &str) -> Result<LoggerHandle, Error> {
-    let writer = QueuedStdout::start(line)?;
-    logger(loudness)?.log_to_writer(Box::new(writer)).start().map_err(bad)
+/// [`ErrorKind::Config`] if `log_level` is not a log level;
+/// [`ErrorKind::Io`] if the writer thread cannot be started.
+pub fn start_on_stdout(log_level: &str) -> Result<LoggerHandle, Error> {
+    let writer = QueuedStdout::start(format_line)?;
+    logger(log_level)?
+        .log_to_writer(Box::new(writer))
+        .start()
+        .map_err(config_error)
 }
 
-fn logger(loudness: &str) -> Result<Logger, Error> {
-    Ok(Logger::try_with_str(loudness).map_err(bad)?.format(line))
+fn logger(log_level: &str) -> Result<Logger, Error> {
+    Ok(Logger::try_with_str(log_level)
+        .map_err(config_error)?
+        .format(format_line))
 }
 
-fn bad(error: flexi_logger::FlexiLoggerError) -> Error {
+fn config_error(error: flexi_logger::FlexiLoggerError) -> Error {
     Error::new(ErrorKind::Config, format!("log: {error}"))
 }
 
-/// Writes a numbered event, unless too many of its kind were written within
-/// a second. How many were left out is a line of its own.
+/// Logs a numbered event unless the limit on its lines per second is reached.
+/// Numbers of omitted lines are logged as events of their own.
 pub fn event(process: &Arc<str>, event: LogEvent, detail: &str) {
-    let verdict = count(event.number());
+    let verdict = count_line(event.number());
     for (number, lines) in verdict.left_out {
         let detail = format!("event={number} lines={lines}");
         write_event(process, LogEvent::LinesLeftOut, &detail);
@@ -78,13 +84,13 @@
     }
 }
 
-/// Whether a record is written. Events are counted where they are made.
-fn admits(record: &Record<'_>) -> bool {
-    record.target() == EVENT_TARGET || count(NO_EVENT).is_written
+/// Returns whether a record is written. Events are counted in [`event`].
+fn is_admitted(record: &Record<'_>) -> bool {
+    record.target() == EVENT_TARGET || count_line(NO_EVENT).is_written
 }
 
-/// The line that tells of lines which found no room in the queue.
-fn no_room_line(lines: u64) -> String {
+/// Returns the line that reports lines omitted because the queue was full.
+fn overflow_line(lines: u64) -> String {
     let event = LogEvent::LinesLeftOut;
     json!({
         "level": "WARN",
@@ -113,7 +119,7 @@
     log::log!(target: EVENT_TARGET, level, "{fields}");
 }
 
-fn line(
+fn format_line(
     out: &mut dyn Write,
     now: &mut DeferredNow,
     record: &Record<'_>,
--- a/crates/raildale/src/logs/queue.rs
+++ b/crates/raildale/src/logs/queue.rs
@@ -1,7 +1,8 @@
-//! Lines on their way to standard output.
+//! A bounded queue of log lines for standard output.
 //!
-//! A reader that stalls must not hold up requests: lines wait in a bounded
-//! queue, a thread writes them, and what finds no room is counted.
+//! A reader that stalls must not delay requests: lines wait in a bounded queue
+//! and a thread writes them. Lines omitted because the queue is full are
+//! counted.
 
 use std::{
     io::Write,
@@ -11,18 +12,18 @@
 
 use flexi_logger::{DeferredNow, Record, writers::LogWriter};
 
-/// Bytes that wait at most: about two seconds of an entry host's lines in an
-/// overload.
-const MOST_BYTES: usize = 256 << 10;
+/// The maximum number of queued bytes: about two seconds of an entry host's
+/// lines in an overload.
+const MAX_QUEUED_BYTES: usize = 256 << 10;
 
-/// Pause of the writer after a batch: one call of the system then writes
-/// many lines.
-const GATHER: Duration = Duration::from_millis(25);
+/// Pause of the writer after a batch, so that one system call writes many
+/// lines.
+const BATCH_PAUSE: Duration = Duration::from_millis(25);
 
-/// How long a process that ends waits for its last lines.
-const FLUSH_MOST: Duration = Duration::from_millis(300);
+/// How long a process that exits waits for its last lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Lines that wait.
+/// The queue of lines.
 #[derive(Debug, Default)]
 pub struct LineQueue {
     state: Mutex<State>,
@@ -34,33 +35,33 @@
     text: Vec<u8>,
     left_out: u64,
     is_writing: bool,
-    /// Nobody reads any more.
+    /// Whether standard output has failed, so that lines are dropped.
     is_closed: bool,
 }
 
-/// Lines taken from the queue together.
+/// Lines taken from the queue by one call.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// The lines.
+    /// The lines, each with a line feed.
     pub text: Vec<u8>,
-    /// Lines that found no room since the last batch.
+    /// The number of lines omitted since the last batch.
     pub left_out: u64,
 }
 
 impl LineQueue {
-    /// No lines yet.
+    /// Creates an empty queue.
     pub fn new() -> LineQueue {
         LineQueue::default()
     }
 
-    /// Adds a line, or counts it if there is no room. Never waits for the
-    /// reader.
+    /// Adds a line, or counts it as omitted if the queue is full. Never waits
+    /// for the reader.
     pub fn push(&self, line: &[u8]) {
         let mut state = self.lock();
         if state.is_closed {
             return;
         }
-        if state.text.len() + line.len() + 1 > MOST_BYTES {
+        if state.text.len() + line.len() + 1 > MAX_QUEUED_BYTES {
             state.left_out += 1;
             return;
         }
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Waits for lines and takes all that are there.
+    /// Waits until there are lines and takes all of them.
     pub fn take(&self) -> Batch {
         let mut state = self.lock();
         state.is_writing = false;
@@ -88,20 +89,20 @@
         Batch { text: std::mem::take(&mut state.text), left_out }
     }
 
-    /// Drops what waits and all that comes: nobody reads any more.
+    /// Drops all queued and later lines.
     fn close(&self) {
         let mut state = self.lock();
         *state = State { is_closed: true, ..State::default() };
         self.changed.notify_all();
     }
 
-    /// Waits until all lines are written, or for `most`.
-    fn wait_written(&self, most: Duration) {
+    /// Waits up to `limit` until all lines are written.
+    fn wait_written(&self, limit: Duration) {
         let state = self.lock();
         let is_busy =
             |state: &mut State| !state.text.is_empty() || state.is_writing;
-        // Late lines are lost with the process; there is nobody to tell.
-        let _ = self.changed.wait_timeout_while(state, most, is_busy);
+        // Lines not written in time are lost when the process exits.
+        let _ = self.changed.wait_timeout_while(state, limit, is_busy);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Writes log lines to standard output from a thread of its own.
+/// Writes log lines to standard output from a dedicated thread.
 #[derive(Debug)]
 pub struct QueuedStdout {
     queue: Arc<LineQueue>,
@@ -117,11 +118,11 @@
 }
 
 impl QueuedStdout {
-    /// Starts the thread.
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
-    /// [`std::io::Error`] if there can be no thread.
+    /// [`std::io::Error`] if the thread cannot be started.
     pub fn start(
         format: flexi_logger::FormatFunction,
     ) -> std::io::Result<QueuedStdout> {
@@ -134,14 +135,14 @@
     }
 }
 
-/// Writes batches for as long as the process runs.
+/// Writes batches until standard output fails.
 fn write_all(queue: &LineQueue) {
     loop {
         let batch = queue.take();
         let mut out = std::io::stdout().lock();
         let mut written = out.write_all(&batch.text);
         if batch.left_out > 0 {
-            let text = super::no_room_line(batch.left_out);
+            let text = super::overflow_line(batch.left_out);
             written = written.and_then(|()| writeln!(out, "{text}"));
         }
         if written.and_then(|()| out.flush()).is_err() {
@@ -149,7 +150,7 @@
             return;
         }
         drop(out);
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_PAUSE);
     }
 }
 
@@ -159,7 +160,7 @@
         now: &mut DeferredNow,
         record: &Record<'_>,
     ) -> std::io::Result<()> {
-        if !super::admits(record) {
+        if !super::is_admitted(record) {
             return Ok(());
         }
         let mut line = Vec::with_capacity(256);
@@ -169,11 +170,11 @@
     }
 
     fn flush(&self) -> std::io::Result<()> {
-        self.queue.wait_written(FLUSH_MOST);
+        self.queue.wait_written(FLUSH_TIMEOUT);
         Ok(())
     }
 
     fn shutdown(&self) {
-        self.queue.wait_written(FLUSH_MOST);
+        self.queue.wait_written(FLUSH_TIMEOUT);
     }
 }
