--- a/crates/raildale/tests/tables.rs
+++ b/crates/raildale/tests/tables.rs
@@ -4,7 +4,7 @@
 
 fn read(name: &str) -> String {
     let path = format!("{}/../../docs/{name}", env!("CARGO_MANIFEST_DIR"));
-    std::fs::read_to_string(path).expect("the page is there")
+    std::fs::read_to_string(path).expect("the page is readable")
 }
 
 fn rows(page: &str) -> Vec<&str> {
