--- a/crates/raildale/src/logs/limiter.rs
+++ b/crates/raildale/src/logs/limiter.rs
@@ -52,7 +52,8 @@
         let count = self.lines.entry(number).or_default();
         *count += 1;
         let is_written = *count <= max_lines(number);
-        // Omitted lines are only reported together with an event.
+        // Lines without an event are counted in the log writer, which cannot
+        // log a report of omitted lines.
         let left_out = match number {
             NO_EVENT => Vec::new(),
             _ => std::mem::take(&mut self.unreported),
