--- a/crates/raildale/src/agent_daemon.rs
+++ b/crates/raildale/src/agent_daemon.rs
@@ -112,13 +112,13 @@
         let identity = identity(&file, clock);
         let spread_rate =
             file.link.bytes_per_s * file.link.spread_percent / 100;
-        let links = |silence, pacer| {
+        let links = |idle_timeout, pacer| {
             Arc::new(Links {
                 identity: identity.clone(),
                 key: ClusterKey::new(&file.node.cluster_key),
                 bind_ip: file.node.listen.ip(),
                 pacer,
-                dialled_idle_timeout: silence,
+                dialled_idle_timeout: idle_timeout,
                 accepted_idle_timeout: None,
                 process: process.clone(),
                 events: links_tx.clone(),
--- a/crates/raildale/src/platform.rs
+++ b/crates/raildale/src/platform.rs
@@ -191,7 +191,7 @@
     next_us: AtomicU64,
 }
 
-/// The maximum number of calls in a burst.
+/// The number of calls that may follow an earlier one without a delay.
 const BURST: u64 = 4;
 
 impl CallRateLimit {
