--- a/crates/raildale-core/tests/request_runs.rs
+++ b/crates/raildale-core/tests/request_runs.rs
@@ -10,7 +10,7 @@
     request::{admission::Priority, dispatch::Submission},
 };
 use rand::RngExt;
-use world::{KEY, World, answer, seeds, settings};
+use world::{CALLER_KEY, World, answer, seed_range, settings};
 use yare::parameterized;
 
 const HOSTS: usize = 6;
@@ -31,7 +31,7 @@
 /// A request as its caller sees it.
 #[derive(Clone, Debug)]
 struct Caller {
-    mark: String,
+    label: String,
     repeatable: bool,
     stream: bool,
     key: Option<String>,
@@ -61,7 +61,7 @@
             serving == HOSTS
         });
         assert!(is_up, "seed {seed}: the model did not come up");
-        world.run(1_000);
+        world.run_for(1_000);
         Load { world, callers: vec![], next: 1 }
     }
 
@@ -81,13 +81,13 @@
         let request = self.number();
         let issue = entry::Event::IssueKey {
             request,
-            key_hash: Digest::of(KEY),
+            key_hash: Digest::of(CALLER_KEY),
             model: "m".into(),
         };
         let at = self.entry();
         self.world.submit(&at, issue);
-        self.world.run(100);
-        let last = &self.world.finals[&request].0;
+        self.world.run_for(100);
+        let last = &self.world.responses[&request].0;
         last.run_key.clone().expect("a key")
     }
 
@@ -99,7 +99,7 @@
         let holds_key = self.world.rng.random_range(0..2) == 0;
         let stream = self.world.rng.random_range(0..4) == 0;
         let mut caller = Caller {
-            mark: format!("r{number}"),
+            label: format!("r{number}"),
             repeatable,
             stream,
             key: None,
@@ -111,7 +111,7 @@
             caller.asked_key = Some(request);
             let event = entry::Event::IssueKey {
                 request,
-                key_hash: Digest::of(KEY),
+                key_hash: Digest::of(CALLER_KEY),
                 model: "m".into(),
             };
             let at = self.entry();
@@ -126,9 +126,9 @@
         let request = self.number();
         caller.tries.push(request);
         let submission = Submission {
-            key_hash: Digest::of(KEY),
+            key_hash: Digest::of(CALLER_KEY),
             model: "m".into(),
-            payload: caller.mark.clone().into_bytes(),
+            payload: caller.label.clone().into_bytes(),
             priority: Priority::Normal,
             deadline_ms: Some(2_000),
             repeatable: caller.repeatable,
@@ -150,7 +150,7 @@
         let mut callers = std::mem::take(&mut self.callers);
         for caller in &mut callers {
             if let Some(asked) = caller.asked_key
-                && let Some((last, _)) = self.world.finals.get(&asked)
+                && let Some((last, _)) = self.world.responses.get(&asked)
             {
                 caller.asked_key = None;
                 caller.key = last.run_key.as_ref().map(|key| key.to_string());
@@ -174,7 +174,7 @@
     fn disturb(&mut self, trouble: Trouble) {
         let world = &mut self.world;
         let mut dice = |one_in: u32| world.rng.random_range(0..one_in) == 0;
-        let (agent_dies, entry_dies, cut, pause, part, leave) = (
+        let (agent_dies, entry_dies, disconnect, pause, partition, leave) = (
             trouble.agents_die && dice(30),
             trouble.entries_die && dice(40),
             trouble.cuts && dice(6),
@@ -190,9 +190,9 @@
             let name = self.any(false);
             self.world.restart(&name);
         }
-        if cut {
+        if disconnect {
             let name = self.any(true);
-            self.world.cut_all(&name);
+            self.world.disconnect_all(&name);
         }
         if pause {
             let is_agent = self.world.rng.random_range(0..3) > 0;
@@ -200,16 +200,16 @@
             let ms = self.world.rng.random_range(50..4_000);
             self.world.pause(&name, ms);
         }
-        if part {
+        if partition {
             let (a, b) = (self.any(true), self.any(false));
-            self.world.part(&a, &b);
+            self.world.partition(&a, &b);
         } else if self.world.rng.random_range(0..20) == 0 {
             self.world.heal();
         }
         if leave {
             let name = self.any(true);
             if self.world.is_alive(&name) {
-                self.world.agent_event(&name, agent::Event::Leave);
+                self.world.submit_agent_event(&name, agent::Event::Leave);
             }
         }
         let stopped: Vec<Name> = self.world.stopped.iter().cloned().collect();
@@ -227,16 +227,17 @@
     fn judge(&self, seed: u64) -> BTreeMap<Code, u64> {
         let mut codes = BTreeMap::new();
         for caller in &self.callers {
-            let runs = self.world.runs.get(&caller.mark).copied().unwrap_or(0);
+            let runs =
+                self.world.runs.get(&caller.label).copied().unwrap_or(0);
             if !caller.repeatable || caller.key.is_some() {
                 assert!(
                     runs <= 1,
                     "seed {seed}: {} ran {runs} times",
-                    caller.mark
+                    caller.label
                 );
             }
             for request in &caller.tries {
-                let Some((last, streamed)) = self.world.finals.get(request)
+                let Some((last, streamed)) = self.world.responses.get(request)
                 else {
                     continue;
                 };
@@ -255,25 +256,25 @@
     last: &FinalResponse,
     streamed: &[u8],
 ) {
-    let mark = &caller.mark;
-    let expected = answer(mark);
+    let label = &caller.label;
+    let expected = answer(label);
     if last.code == Code::Done {
         let got = [streamed, last.answer.as_slice()].concat();
         assert_eq!(
             String::from_utf8_lossy(&got),
             String::from_utf8_lossy(&expected),
-            "seed {seed}: {mark} got another answer, or a cut one"
+            "seed {seed}: {label} got another answer, or a cut one"
         );
     } else {
         assert!(
             expected.starts_with(streamed),
-            "seed {seed}: {mark} was streamed another's bytes"
+            "seed {seed}: {label} was streamed another's bytes"
         );
     }
     if last.code.ran() == Ran::NotRun {
         assert_eq!(
             runs, 0,
-            "seed {seed}: {mark} was said not to have run: {}",
+            "seed {seed}: {label} was said not to have run: {}",
             last.code
         );
     }
@@ -288,19 +289,22 @@
         }
         load.go_on();
         load.disturb(trouble);
-        load.world.run(40);
+        load.world.run_for(40);
     }
     load.world.heal();
-    load.world.run(8_000);
+    load.world.run_for(8_000);
     assert_eq!(load.world.late_runs, 0, "seed {seed}: late new work");
     // An entry host that was frozen or cut off cannot know better; the
     // leaving agent's refusal is what holds then.
     if !trouble.pauses && !trouble.cuts && !trouble.parts {
         assert_eq!(load.world.late_dispatches, 0, "seed {seed}: late notice");
     }
-    assert_eq!(load.world.stop_with_runs, 0, "seed {seed}: a stop cut runs");
+    assert_eq!(
+        load.world.unfinished_at_stop, 0,
+        "seed {seed}: a stop cut runs"
+    );
     for (name, target) in &load.world.targets {
-        assert_eq!(target.served_partial, 0, "seed {seed}: {name}");
+        assert_eq!(target.invalid_runs, 0, "seed {seed}: {name}");
     }
     load.judge(seed)
 }
@@ -329,7 +333,7 @@
     },
 )]
 fn answers_are_whole_and_words_are_true(trouble: Trouble) {
-    for seed in seeds(12) {
+    for seed in seed_range(12) {
         println!("seed {seed}");
         let codes = flow(seed, trouble);
         println!("{codes:?}");
@@ -341,7 +345,7 @@
 /// Without trouble, everybody who has room gets an answer.
 #[test]
 fn nothing_is_refused_or_unknown_without_trouble() {
-    for seed in seeds(8) {
+    for seed in seed_range(8) {
         let codes = flow(seed, Trouble::default());
         let fine = |code: &Code| *code == Code::Done;
         assert!(codes.keys().all(fine), "seed {seed}: {codes:?}");
@@ -352,7 +356,7 @@
 /// its deadline by more than a tick and the wait for a lost connection.
 #[test]
 fn every_request_gets_one_last_word() {
-    for seed in seeds(8) {
+    for seed in seed_range(8) {
         let trouble = Trouble {
             agents_die: true,
             cuts: true,
@@ -364,15 +368,15 @@
             load.arrive();
             load.go_on();
             load.disturb(trouble);
-            load.world.run(40);
+            load.world.run_for(40);
         }
-        load.world.run(3_500);
+        load.world.run_for(3_500);
         for caller in &load.callers {
             for request in &caller.tries {
                 assert!(
-                    load.world.finals.contains_key(request),
+                    load.world.responses.contains_key(request),
                     "seed {seed}: {} has no last word",
-                    caller.mark
+                    caller.label
                 );
             }
         }
@@ -382,21 +386,21 @@
 /// A key can be asked about, and barred before it runs.
 #[test]
 fn a_revoked_key_never_runs() {
-    for seed in seeds(8) {
+    for seed in seed_range(8) {
         let mut load = Load::new(seed);
         let key = load.fetch_key();
         let revoke = entry::Event::QueryRun {
             request: 1_002,
-            key_hash: Digest::of(KEY),
+            key_hash: Digest::of(CALLER_KEY),
             run_key: key.to_string(),
             revoke: true,
         };
         let at = load.entry();
         load.world.submit(&at, revoke);
-        load.world.run(200);
-        assert_eq!(load.world.finals[&1_002].0.code, Code::Revoked);
+        load.world.run_for(200);
+        assert_eq!(load.world.responses[&1_002].0.code, Code::Revoked);
         let mut caller = Caller {
-            mark: "late".into(),
+            label: "late".into(),
             repeatable: false,
             stream: false,
             key: Some(key.to_string()),
@@ -404,8 +408,8 @@
             tries: vec![],
         };
         load.send(&mut caller);
-        load.world.run(3_000);
-        let last = &load.world.finals[&caller.tries[0]].0;
+        load.world.run_for(3_000);
+        let last = &load.world.responses[&caller.tries[0]].0;
         assert_eq!(last.code, Code::Revoked);
         assert!(!load.world.runs.contains_key("late"));
     }
@@ -415,11 +419,11 @@
 /// same key still waits for the answer.
 #[test]
 fn a_caller_that_goes_away_leaves_others_their_run() {
-    for seed in seeds(8) {
+    for seed in seed_range(8) {
         let mut load = Load::new(seed);
         let key = load.fetch_key();
         let mut caller = Caller {
-            mark: "shared".into(),
+            label: "shared".into(),
             repeatable: true,
             stream: false,
             key: Some(key.to_string()),
@@ -428,13 +432,13 @@
         };
         load.send(&mut caller);
         load.send(&mut caller);
-        load.world.run(40);
+        load.world.run_for(40);
         let gone = entry::Event::CallerGone(caller.tries[0]);
         for name in load.world.names(false) {
             load.world.submit(&name, gone.clone());
         }
-        load.world.run(3_000);
-        let last = &load.world.finals[&caller.tries[1]].0;
+        load.world.run_for(3_000);
+        let last = &load.world.responses[&caller.tries[1]].0;
         assert_eq!(last.code, Code::Done, "seed {seed}");
         assert_eq!(last.answer, answer("shared"), "seed {seed}");
     }
@@ -444,11 +448,11 @@
 /// does not run again.
 #[test]
 fn a_run_is_stopped_by_its_key() {
-    for seed in seeds(8) {
+    for seed in seed_range(8) {
         let mut load = Load::new(seed);
         let key = load.fetch_key();
         let mut caller = Caller {
-            mark: "stopped".into(),
+            label: "stopped".into(),
             repeatable: false,
             stream: false,
             key: Some(key.to_string()),
@@ -456,22 +460,22 @@
             tries: vec![],
         };
         load.send(&mut caller);
-        load.world.run(30);
+        load.world.run_for(30);
         let stop = entry::Event::QueryRun {
             request: 1_002,
-            key_hash: Digest::of(KEY),
+            key_hash: Digest::of(CALLER_KEY),
             run_key: key.to_string(),
             revoke: true,
         };
         let at = load.entry();
         load.world.submit(&at, stop);
-        load.world.run(100);
+        load.world.run_for(100);
         load.send(&mut caller);
-        load.world.run(3_000);
+        load.world.run_for(3_000);
         let runs = load.world.runs.get("stopped").copied().unwrap_or(0);
         assert!(runs <= 1, "seed {seed}: ran {runs} times");
-        let stopped = &load.world.finals[&1_002].0;
-        let again = &load.world.finals[&caller.tries[1]].0;
+        let stopped = &load.world.responses[&1_002].0;
+        let again = &load.world.responses[&caller.tries[1]].0;
         let expected = match runs {
             0 => Code::Revoked,
             _ => Code::Cancelled,
--- a/crates/raildale-core/tests/settings_runs.rs
+++ b/crates/raildale-core/tests/settings_runs.rs
@@ -10,7 +10,7 @@
     settings::writer::{Outcome, Reply, Step, Writer},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
-use world::{World, seeds, settings, settings_at};
+use world::{World, seed_range, settings, settings_at};
 use yare::parameterized;
 
 /// The platform's object, with every fault that the brief names.
@@ -97,7 +97,7 @@
     stale_percent: u32,
     late_percent: u32,
 ) {
-    for seed in seeds(300) {
+    for seed in seed_range(300) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut object = Object {
             history: vec![],
@@ -192,21 +192,21 @@
     },
 )]
 fn settings_reach_everyone_and_never_revert(trouble: Trouble) {
-    for seed in seeds(12) {
+    for seed in seed_range(12) {
         let mut world = World::new(seed);
         world.duplicate_percent = if trouble.duplicates { 5 } else { 0 };
         let version = world.publish("first", 3, 0);
         world.add_entries(5);
         world.add_agents(6);
         let mut revision = world.accept_settings(settings(version));
-        world.run(3_000);
+        world.run_for(3_000);
         let mut highest: BTreeMap<(Name, u64), u64> = BTreeMap::new();
         for _ in 0..60 {
             if world.rng.random_range(0..4) == 0 {
                 revision = world.accept_settings(settings(version));
             }
             disturb(&mut world, trouble);
-            world.run(100);
+            world.run_for(100);
             observe(&world, seed, &mut highest);
         }
         let everywhere = world
@@ -218,13 +218,13 @@
 /// Without trouble an accepted change is in force everywhere within 2 s.
 #[test]
 fn a_change_is_in_force_everywhere_within_two_seconds() {
-    for seed in seeds(12) {
+    for seed in seed_range(12) {
         let mut world = World::new(seed);
         let version = world.publish("first", 3, 0);
         world.add_entries(7);
         world.add_agents(20);
         world.accept_settings(settings(version));
-        world.run(3_000);
+        world.run_for(3_000);
         for _ in 0..10 {
             let revision = world.accept_settings(settings(version));
             let everywhere = world.run_until(2_000, |world| {
@@ -239,7 +239,7 @@
 /// revision from its peers, and orders nothing by an older one.
 #[test]
 fn a_restart_during_an_outage_does_not_bring_old_settings_back() {
-    for seed in seeds(20) {
+    for seed in seed_range(20) {
         let mut world = World::new(seed);
         let old = world.publish("old", 3, 0);
         let manifest = world.manifests[&old].clone();
@@ -247,15 +247,15 @@
         world.add_entries(5);
         world.add_agents(6);
         world.accept_settings(settings_at(old, "m/old"));
-        world.run(4_000);
+        world.run_for(4_000);
         // One entry host is cut off from all others and keeps the old ones.
         let lagging: Name = "entry-4".into();
         for other in world.names(false) {
             if other != lagging {
-                world.part(&lagging, &other);
+                world.partition(&lagging, &other);
             }
         }
-        world.forget_watch(&lagging);
+        world.stop_watching(&lagging);
         let new = world.publish("new", 3, 0);
         world.accept_settings(settings(new));
         let is_new = world.run_until(10_000, |world| {
@@ -268,12 +268,12 @@
         for name in world.names(true) {
             for entry in world.names(false) {
                 if entry != lagging {
-                    world.part(&name, &entry);
+                    world.partition(&name, &entry);
                 }
             }
             world.restart(&name);
         }
-        world.run(400);
+        world.run_for(400);
         world.heal();
         world.run_until(6_000, |world| {
             for (name, target) in &world.targets {
@@ -293,7 +293,7 @@
         world.restart(&name);
     }
     if trouble.cuts && world.rng.random_range(0..3) == 0 {
-        world.cut_all(&name);
+        world.disconnect_all(&name);
     }
     if trouble.pauses && world.rng.random_range(0..6) == 0 {
         let ms = world.rng.random_range(50..4_000);
--- a/crates/raildale-core/tests/spread_runs.rs
+++ b/crates/raildale-core/tests/spread_runs.rs
@@ -4,7 +4,7 @@
 
 use raildale_core::{Name, agent};
 use rand::RngExt;
-use world::{World, seeds, settings};
+use world::{World, seed_range, settings};
 use yare::parameterized;
 
 const HOSTS: usize = 9;
@@ -42,7 +42,7 @@
     let mut wanted = world.publish("second", CHUNKS, 5);
     world.accept_settings(settings(wanted));
     for step in 0..40 {
-        world.run(50);
+        world.run_for(50);
         disturb(&mut world, trouble);
         if trouble.replaced_midway && step == 8 {
             wanted = world.publish("third", CHUNKS, 5);
@@ -82,7 +82,7 @@
     }
     if trouble.cuts && world.rng.random_range(0..3) == 0 {
         let name = random(world, true);
-        world.cut_all(&name);
+        world.disconnect_all(&name);
     }
     if trouble.pauses && world.rng.random_range(0..15) == 0 {
         let name = random(world, true);
@@ -105,7 +105,7 @@
 fn check(world: &World, seed: u64) {
     for name in world.names(true) {
         assert!(
-            world.is_whole(&name),
+            world.serves_whole_version(&name),
             "seed {seed}: {name} serves weights that are not whole"
         );
         if let Some(agent) = world.agent(&name) {
@@ -142,7 +142,7 @@
     },
 )]
 fn every_spread_ends_whole(trouble: Trouble) {
-    for seed in seeds(12) {
+    for seed in seed_range(12) {
         println!("seed {seed}");
         spread(seed, trouble);
     }
@@ -151,7 +151,7 @@
 /// Each chunk leaves the origin once, and what two versions share not again.
 #[test]
 fn a_calm_spread_takes_one_copy_from_the_origin() {
-    for seed in seeds(12) {
+    for seed in seed_range(12) {
         let mut world = start(seed);
         world.origin_fetches = 0;
         let second = world.publish("second", CHUNKS, 5);
@@ -175,10 +175,10 @@
 /// A host that comes late is served by its peers.
 #[test]
 fn a_late_joiner_costs_the_origin_nothing() {
-    for seed in seeds(8) {
+    for seed in seed_range(8) {
         let mut world = start(seed);
         let name: Name = "host-4".into();
-        world.empty_target(&name);
+        world.replace_target(&name);
         world.restart(&name);
         world.origin_fetches = 0;
         let first = world.targets[&Name::from("host-0")].active;
@@ -192,16 +192,16 @@
 /// A target that lost its weights is brought back without the origin.
 #[test]
 fn a_target_that_restarts_is_staged_again() {
-    for seed in seeds(4) {
+    for seed in seed_range(4) {
         let mut world = start(seed);
         let name: Name = "host-3".into();
         let first = world.targets[&name].active;
-        world.empty_target(&name);
+        world.replace_target(&name);
         world.origin_fetches = 0;
         let served = world
             .run_until(30_000, |world| world.targets[&name].active == first);
         assert!(served, "seed {seed}");
-        assert!(world.is_whole(&name), "seed {seed}");
+        assert!(world.serves_whole_version(&name), "seed {seed}");
         assert_eq!(world.origin_fetches, 0, "seed {seed}");
     }
 }
@@ -209,12 +209,12 @@
 /// Back to the version before, without the origin where chunks are kept.
 #[test]
 fn rolling_back_serves_the_earlier_version_whole() {
-    for seed in seeds(4) {
+    for seed in seed_range(4) {
         let mut world = start(seed);
         let first = world.targets[&Name::from("host-0")].active.expect("set");
         let second = world.publish("second", CHUNKS, 0);
         world.accept_settings(settings(second));
-        world.run(700);
+        world.run_for(700);
         // The origin holds the first version again under the same path.
         world.publish("first", CHUNKS, 5);
         world.accept_settings(settings(first));
@@ -231,7 +231,7 @@
 fn a_leaving_agent_stops() {
     let mut world = start(1);
     let name: Name = "host-2".into();
-    world.agent_event(&name, agent::Event::Leave);
+    world.submit_agent_event(&name, agent::Event::Leave);
     let stopped =
         world.run_until(5_000, |world| world.stopped.contains(&name));
     assert!(stopped);
--- a/crates/raildale-core/tests/world/mod.rs
+++ b/crates/raildale-core/tests/world/mod.rs
@@ -1,8 +1,11 @@
-//! Reducers joined by a small fake of links, targets and the platform.
+//! A simulation of agents and entry hosts in virtual time, with fake
+//! connections, targets and settings platform.
 //!
-//! It delays, duplicates and cuts, kills, pauses and parts; it measures no
-//! time and models no network. The targets' record of real runs and real
-//! weights is the judge.
+//! It delays and duplicates messages, corrupts chunks, breaks connections,
+//! partitions the network, and pauses and kills processes. It does not model
+//! bandwidth, and its delays are no measure of real ones. Tests judge a run
+//! by what the fake targets recorded: the runs they started and the chunks
+//! they served.
 
 #![allow(dead_code)]
 
@@ -22,19 +25,23 @@
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 
+/// The origin path of published versions.
 pub const ORIGIN_PATH: &str = "m/v";
+/// The model's name, with its organisation.
 pub const MODEL: &str = "club/m";
-pub const KEY: &[u8] = b"caller";
+/// The API key of all callers.
+pub const CALLER_KEY: &[u8] = b"caller";
 
-/// Silence after which peers take a connection for dead.
-const SILENCE_MS: u64 = 2_500;
+/// The silence after which peers close their connections to a process.
+const SILENCE_TIMEOUT_MS: u64 = 2_500;
 
-/// Seeds that a run takes: `RAILDALE_SEEDS` of them, or a few.
-pub fn seeds(few: u64) -> std::ops::Range<u64> {
+/// Returns the seeds of a test: `RAILDALE_SEEDS` of them, or `default_count`,
+/// from `RAILDALE_FIRST_SEED` or 0.
+pub fn seed_range(default_count: u64) -> std::ops::Range<u64> {
     let count = std::env::var("RAILDALE_SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(few);
+        .unwrap_or(default_count);
     let first = std::env::var("RAILDALE_FIRST_SEED")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -42,39 +49,55 @@
     first..first + count
 }
 
+/// A fake target, on the host of the agent with the same name.
 pub struct Target {
+    /// Whether it rejects activations with a fence below the highest one.
     pub checks_fences: bool,
+    /// The digests of the staged chunks, by manifest and chunk index.
     pub slots: BTreeMap<Digest, BTreeMap<usize, Digest>>,
+    /// The manifest of the version that it serves.
     pub active: Option<Digest>,
+    /// The highest fence of the activations that were carried out.
     fence: Option<Fence>,
-    life: u64,
-    stopped: BTreeSet<Name>,
-    pub served_partial: u64,
+    /// How often the target was replaced.
+    replacements: u64,
+    /// The run keys of stopped runs.
+    stopped_runs: BTreeSet<Name>,
+    /// The number of runs that started while the target served no version or
+    /// an incomplete one.
+    pub invalid_runs: u64,
 }
 
+/// The reducer of a process.
 enum Process {
     Agent(Box<Agent>),
     Entry(Box<Entry>),
 }
 
+/// An agent's or entry host's process, over all its incarnations.
 pub struct Node {
+    /// The identity of its newest incarnation.
     pub identity: Identity,
+    /// The process; `None` after it was killed or has stopped.
     process: Option<Process>,
-    paused_until: u64,
-    inbox: VecDeque<Happening>,
+    /// The time at which its pause ends; in the past if it is not paused.
+    paused_until_ms: u64,
+    /// The events that arrived while it was paused, oldest first.
+    deferred: VecDeque<ScheduledEvent>,
 }
 
+/// An event in the simulation's queue.
 #[derive(Clone, Debug)]
-enum Happening {
+enum ScheduledEvent {
+    /// A tick of a process, given by name and incarnation.
     Tick(Name, u64),
+    /// An event for an agent, given by name and incarnation.
     Agent(Name, u64, agent::Event),
+    /// An event for an entry host, given by name and incarnation.
     Entry(Name, u64, entry::Event),
-    Message {
-        from: Name,
-        to: Name,
-        link: u64,
-        body: Body,
-    },
+    /// A message arrives, if the connection with the id `link` is still up.
+    Message { from: Name, to: Name, link: u64, body: Body },
+    /// A chunk arrives, if the connection with the id `link` is still up.
     Chunk {
         from: Name,
         to: Name,
@@ -83,76 +106,110 @@
         index: usize,
         digest: Digest,
     },
-    Sent {
-        from: Name,
-        link: u64,
-        event: agent::Event,
-    },
-    LinkUp(Name, Name),
-    Silent(Name),
-    Wake(Name),
+    /// The agent `from` has sent a chunk.
+    UploadEnded { from: Name, link: u64, event: agent::Event },
+    /// The first process attempts to connect to the second.
+    Connect(Name, Name),
+    /// The connections of a paused process time out.
+    SilenceTimeout(Name),
+    /// The pause of a process may have ended.
+    Resume(Name),
+    /// An order arrives at a target. It fails if the target was replaced after
+    /// the order was sent.
     Order {
         host: Name,
-        life: u64,
+        replacements: u64,
         incarnation: u64,
         order: TargetOrder,
     },
-    Run {
+    /// A target sends the next piece of a run's answer, or ends the run after
+    /// the last one.
+    AnswerPiece {
         host: Name,
         incarnation: u64,
         key: Name,
-        mark: String,
+        label: String,
         piece: usize,
     },
 }
 
+/// An order of an agent to its target.
 #[derive(Clone, Debug)]
 enum TargetOrder {
+    /// Stages a chunk: manifest, chunk index, chunk digest and round.
     Stage(Digest, usize, Digest, u64),
+    /// Serves a version: model, manifest and fence.
     Activate(Name, Digest, Fence),
 }
 
+/// The connection that one process dials to another.
 #[derive(Default)]
 struct Link {
-    number: u64,
-    is_wanted: bool,
+    /// A new number for each time that the connection is established.
+    id: u64,
+    /// Whether the first attempt to connect was scheduled.
+    is_dialled: bool,
     is_up: bool,
-    last_ms: [u64; 2],
+    /// The newest scheduled arrival of a message from the dialled process and
+    /// from the dialling one, in this order.
+    last_arrival_ms: [u64; 2],
 }
 
+/// The state of a simulation.
 pub struct World {
+    /// The virtual time.
     pub now_ms: u64,
     pub rng: SmallRng,
+    /// All processes, also those that have ended.
     pub nodes: BTreeMap<Name, Node>,
+    /// The targets, by the name of their agent.
     pub targets: BTreeMap<Name, Target>,
+    /// The manifests of all published versions, by digest.
     pub manifests: BTreeMap<Digest, Manifest>,
-    /// Manifest and chunk digests that the origin has, by path.
+    /// The versions that the origin has, by path.
     pub origin: BTreeMap<String, Manifest>,
+    /// The number of chunks that were requested from the origin.
     pub origin_fetches: u64,
+    /// The settings that the platform accepted, by revision.
     pub trees: BTreeMap<u64, Tree>,
+    /// The number of runs that targets started, by the request's label.
     pub runs: BTreeMap<String, u64>,
-    pub finals: BTreeMap<u64, (FinalResponse, Vec<u8>)>,
+    /// The final responses, each with the bytes streamed before it, by
+    /// request number.
+    pub responses: BTreeMap<u64, (FinalResponse, Vec<u8>)>,
+    /// The bytes streamed for requests without a final response.
     pub streams: BTreeMap<u64, Vec<u8>>,
+    /// The percentage of chunks that are corrupted in transfer between peers.
     pub corrupt_percent: u32,
+    /// The percentage of messages that are delivered twice.
     pub duplicate_percent: u32,
-    /// Dispatches that an entry host sent to an agent 2 s after it left.
+    /// The number of dispatches that entry hosts sent to an agent more than
+    /// 2 s after it began to leave.
     pub late_dispatches: u64,
-    /// Runs that began at an agent after it left.
+    /// The number of runs that started at an agent after it began to leave.
     pub late_runs: u64,
-    pub left_at: BTreeMap<Name, u64>,
-    /// Which process parted from which; both ways.
-    pub parted: BTreeSet<(Name, Name)>,
+    /// When agents began to leave.
+    pub left_at_ms: BTreeMap<Name, u64>,
+    /// The pairs of processes that cannot connect, in both orders.
+    pub partitions: BTreeSet<(Name, Name)>,
+    /// The connections, by the dialling and the dialled process.
     links: BTreeMap<(Name, Name), Link>,
+    /// The times and ids of scheduled events, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    items: BTreeMap<u64, Happening>,
-    next_item: u64,
-    next_link: u64,
+    /// The scheduled events, by id.
+    events: BTreeMap<u64, ScheduledEvent>,
+    next_event_id: u64,
+    next_link_id: u64,
     next_incarnation: u64,
+    /// The processes that stopped after leaving and did not start again.
     pub stopped: BTreeSet<Name>,
+    /// The entry hosts that watch the platform's settings.
     watching: BTreeSet<Name>,
     /// Whether reads and watches at the platform get no answer.
     pub platform_is_down: bool,
-    pub stop_with_runs: u64,
+    /// The number of runs and requests that were in progress when a leaving
+    /// process stopped.
+    pub unfinished_at_stop: u64,
 }
 
 impl World {
@@ -167,29 +224,30 @@
             origin_fetches: 0,
             trees: BTreeMap::new(),
             runs: BTreeMap::new(),
-            finals: BTreeMap::new(),
+            responses: BTreeMap::new(),
             streams: BTreeMap::new(),
             corrupt_percent: 0,
             duplicate_percent: 0,
             late_dispatches: 0,
             late_runs: 0,
-            left_at: BTreeMap::new(),
-            parted: BTreeSet::new(),
+            left_at_ms: BTreeMap::new(),
+            partitions: BTreeSet::new(),
             links: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            items: BTreeMap::new(),
-            next_item: 0,
-            next_link: 1,
+            events: BTreeMap::new(),
+            next_event_id: 0,
+            next_link_id: 1,
             next_incarnation: 1,
             stopped: BTreeSet::new(),
             watching: BTreeSet::new(),
             platform_is_down: false,
-            stop_with_runs: 0,
+            unfinished_at_stop: 0,
         }
     }
 
-    /// A version with `chunks` chunks whose bytes follow from `salt`; chunk
-    /// digests below `shared` are the same for every salt.
+    /// Publishes a version at [`ORIGIN_PATH`] and returns its manifest's
+    /// digest. The version has `chunks` chunks, which are derived from `salt`;
+    /// the first `shared` ones are the same for every salt.
     pub fn publish(
         &mut self,
         salt: &str,
@@ -213,6 +271,7 @@
         digest
     }
 
+    /// Starts the entry hosts `entry-0`, `entry-1` and so on.
     pub fn add_entries(&mut self, count: usize) {
         for index in 0..count {
             let name: Name = format!("entry-{index}").into();
@@ -220,6 +279,8 @@
         }
     }
 
+    /// Starts the agents `host-0`, `host-1` and so on, each with an empty
+    /// target. Every other target checks fences.
     pub fn add_agents(&mut self, count: usize) {
         for index in 0..count {
             let name: Name = format!("host-{index}").into();
@@ -230,16 +291,18 @@
                     slots: BTreeMap::new(),
                     active: None,
                     fence: None,
-                    life: 0,
-                    stopped: BTreeSet::new(),
-                    served_partial: 0,
+                    replacements: 0,
+                    stopped_runs: BTreeSet::new(),
+                    invalid_runs: 0,
                 },
             );
             self.start(name, true, index);
         }
     }
 
-    /// Starts a process, or starts it again in a new incarnation.
+    /// Starts a process in a new incarnation and schedules its connections. An
+    /// entry host also reads the platform's settings. `index` determines the
+    /// process's data centre.
     pub fn start(&mut self, name: Name, is_agent: bool, index: usize) {
         self.next_incarnation += 1;
         let incarnation = self.next_incarnation;
@@ -300,30 +363,32 @@
         let node = Node {
             identity,
             process: Some(process),
-            paused_until: 0,
-            inbox: VecDeque::new(),
+            paused_until_ms: 0,
+            deferred: VecDeque::new(),
         };
         self.nodes.insert(name.clone(), node);
         self.stopped.remove(&name);
-        self.left_at.remove(&name);
+        self.left_at_ms.remove(&name);
         self.links.retain(|(from, _), _| *from != name);
-        self.later(1, Happening::Tick(name.clone(), incarnation));
+        self.schedule(1, ScheduledEvent::Tick(name.clone(), incarnation));
         for other in self.names(false) {
             if other != name {
-                self.want_link(&name, &other);
+                self.dial(&name, &other);
                 if !is_agent {
-                    self.want_link(&other, &name);
+                    self.dial(&other, &name);
                 }
             }
         }
         if !is_agent {
             for agent in self.names(true) {
-                self.want_link(&agent, &name);
+                self.dial(&agent, &name);
             }
-            self.offer_platform(&name);
+            self.read_settings(&name);
         }
     }
 
+    /// Returns the names of all agents or all entry hosts, also of those that
+    /// have ended.
     pub fn names(&self, is_agent: bool) -> Vec<Name> {
         self.nodes
             .iter()
@@ -332,10 +397,12 @@
             .collect()
     }
 
+    /// Returns whether a process runs; a paused one does.
     pub fn is_alive(&self, name: &Name) -> bool {
         self.nodes.get(name).is_some_and(|node| node.process.is_some())
     }
 
+    /// Returns the agent with this name if it is running.
     pub fn agent(&self, name: &Name) -> Option<&Agent> {
         match self.nodes.get(name)?.process.as_ref()? {
             Process::Agent(agent) => Some(agent),
@@ -343,6 +410,7 @@
         }
     }
 
+    /// Returns the entry host with this name if it is running.
     pub fn entry(&self, name: &Name) -> Option<&Entry> {
         match self.nodes.get(name)?.process.as_ref()? {
             Process::Entry(entry) => Some(entry),
@@ -350,58 +418,68 @@
         }
     }
 
+    /// Ends a process and its connections at once.
     pub fn kill(&mut self, name: &Name) {
         if let Some(node) = self.nodes.get_mut(name) {
             node.process = None;
         }
         self.watching.remove(name);
-        self.cut_all(name);
+        self.disconnect_all(name);
     }
 
-    /// The process sleeps; its connections stand and fill up.
+    /// Pauses a process. Its connections stay up until peers time out, and
+    /// events for it are deferred.
     pub fn pause(&mut self, name: &Name, ms: u64) {
         let until = self.now_ms + ms;
         if let Some(node) = self.nodes.get_mut(name) {
-            // A shorter pause within a longer one ends with the longer:
-            // what waits for a process is handed over in order.
-            node.paused_until = node.paused_until.max(until);
+            // A shorter pause within a longer one ends with the longer one,
+            // because deferred events are delivered in order.
+            node.paused_until_ms = node.paused_until_ms.max(until);
         }
-        if ms > SILENCE_MS {
-            self.later(SILENCE_MS, Happening::Silent(name.clone()));
+        if ms > SILENCE_TIMEOUT_MS {
+            self.schedule(
+                SILENCE_TIMEOUT_MS,
+                ScheduledEvent::SilenceTimeout(name.clone()),
+            );
         }
     }
 
+    /// Kills a process and starts it again in a new incarnation.
     pub fn restart(&mut self, name: &Name) {
         let (is_agent, index) = {
             let node = &self.nodes[name];
-            let (_, number) = name.rsplit_once('-').expect("it has a number");
-            (node.identity.is_agent, number.parse().expect("a number"))
+            let (_, index) = name.rsplit_once('-').expect("it has an index");
+            (node.identity.is_agent, index.parse().expect("an index"))
         };
         self.kill(name);
         self.start(name.clone(), is_agent, index);
     }
 
-    /// The target is replaced by an empty one.
-    pub fn empty_target(&mut self, name: &Name) {
-        let target = self.targets.get_mut(name).expect("it is there");
+    /// Replaces a target by an empty one.
+    pub fn replace_target(&mut self, name: &Name) {
+        let target = self.targets.get_mut(name).expect("it exists");
         target.active = None;
         target.fence = None;
         target.slots.clear();
-        target.life += 1;
+        target.replacements += 1;
     }
 
-    pub fn part(&mut self, a: &Name, b: &Name) {
-        self.parted.insert((a.clone(), b.clone()));
-        self.parted.insert((b.clone(), a.clone()));
-        self.cut(a, b);
-        self.cut(b, a);
+    /// Breaks the connections between two processes and prevents new ones
+    /// until [`World::heal`].
+    pub fn partition(&mut self, a: &Name, b: &Name) {
+        self.partitions.insert((a.clone(), b.clone()));
+        self.partitions.insert((b.clone(), a.clone()));
+        self.disconnect(a, b);
+        self.disconnect(b, a);
     }
 
+    /// Removes all partitions.
     pub fn heal(&mut self) {
-        self.parted.clear();
+        self.partitions.clear();
     }
 
-    pub fn cut_all(&mut self, name: &Name) {
+    /// Breaks all connections of a process.
+    pub fn disconnect_all(&mut self, name: &Name) {
         let ends: Vec<(Name, Name)> = self
             .links
             .keys()
@@ -409,67 +487,77 @@
             .cloned()
             .collect();
         for (a, b) in ends {
-            self.cut(&a, &b);
+            self.disconnect(&a, &b);
         }
     }
 
-    /// A connection breaks: what is under way is lost, both ends hear.
-    pub fn cut(&mut self, a: &Name, b: &Name) {
+    /// Breaks the connection that `a` dialled to `b`. Messages in transit are
+    /// lost, both ends are notified, and `a` dials again if it is alive.
+    pub fn disconnect(&mut self, a: &Name, b: &Name) {
         let Some(link) = self.links.get_mut(&(a.clone(), b.clone())) else {
             return;
         };
         if !std::mem::take(&mut link.is_up) {
             return;
         }
-        self.tell_down(a, b, true);
-        self.tell_down(b, a, false);
-        let wait = self.rng.random_range(20..200);
-        self.later(wait, Happening::LinkUp(a.clone(), b.clone()));
+        self.notify_link_down(a, b, true);
+        self.notify_link_down(b, a, false);
+        let delay_ms = self.rng.random_range(20..200);
+        self.schedule(delay_ms, ScheduledEvent::Connect(a.clone(), b.clone()));
     }
 
-    /// A caller's request at an entry host.
+    /// Submits a caller's request to an entry host.
     pub fn submit(&mut self, at: &Name, event: entry::Event) {
         if let Some(node) = self.nodes.get(at) {
             let incarnation = node.identity.incarnation;
-            let wait = self.rng.random_range(1..5);
-            self.later(wait, Happening::Entry(at.clone(), incarnation, event));
+            let delay_ms = self.rng.random_range(1..5);
+            self.schedule(
+                delay_ms,
+                ScheduledEvent::Entry(at.clone(), incarnation, event),
+            );
         }
     }
 
-    pub fn agent_event(&mut self, at: &Name, event: agent::Event) {
+    /// Submits an event to an agent.
+    pub fn submit_agent_event(&mut self, at: &Name, event: agent::Event) {
         let incarnation = self.nodes[at].identity.incarnation;
-        self.later(0, Happening::Agent(at.clone(), incarnation, event));
+        self.schedule(
+            0,
+            ScheduledEvent::Agent(at.clone(), incarnation, event),
+        );
     }
 
-    /// The platform takes a change: those that watch hear of it, the rest
-    /// from them.
+    /// Stores changed settings at the platform and returns their revision.
+    /// They are delivered to the watching entry hosts, which pass them on.
     pub fn accept_settings(&mut self, tree: Tree) -> u64 {
         let revision = self.trees.keys().last().copied().unwrap_or(0) + 1;
         self.trees.insert(revision, tree);
         for name in self.watching.clone() {
-            self.offer_revision(&name, revision);
+            self.deliver_settings(&name, revision);
         }
         revision
     }
 
-    /// A read at the platform, stale at first now and then; a watch comes to
-    /// the newest in the end.
-    pub fn offer_platform(&mut self, name: &Name) {
+    /// Delivers the settings that an entry host reads at the platform. The
+    /// first read may be up to two revisions stale; the watch then delivers
+    /// the newest revision. Does nothing while the platform is down.
+    pub fn read_settings(&mut self, name: &Name) {
         if self.platform_is_down {
             return;
         }
         let Some(newest) = self.trees.keys().last().copied() else { return };
-        let behind = self.rng.random_range(0..3);
-        self.offer_revision(name, newest.saturating_sub(behind).max(1));
-        self.offer_revision(name, newest);
+        let lag = self.rng.random_range(0..3);
+        self.deliver_settings(name, newest.saturating_sub(lag).max(1));
+        self.deliver_settings(name, newest);
     }
 
-    /// A process no longer hears from the platform.
-    pub fn forget_watch(&mut self, name: &Name) {
+    /// Ends a process's watch of the platform.
+    pub fn stop_watching(&mut self, name: &Name) {
         self.watching.remove(name);
     }
 
-    pub fn offer_revision(&mut self, name: &Name, revision: u64) {
+    /// Delivers a revision of the settings to an entry host after a delay.
+    pub fn deliver_settings(&mut self, name: &Name, revision: u64) {
         let Some(tree) = self.trees.get(&revision).cloned() else { return };
         let Some(node) = self.nodes.get(name) else { return };
         let incarnation = node.identity.incarnation;
@@ -478,148 +566,176 @@
             text: revision.to_string().into(),
             tree: Box::new(tree),
         };
-        let wait = self.rng.random_range(1..300);
-        self.later(wait, Happening::Entry(name.clone(), incarnation, event));
+        let delay_ms = self.rng.random_range(1..300);
+        self.schedule(
+            delay_ms,
+            ScheduledEvent::Entry(name.clone(), incarnation, event),
+        );
     }
 
-    /// Lets `ms` pass.
-    pub fn run(&mut self, ms: u64) {
+    /// Runs the simulation for `ms` of virtual time.
+    pub fn run_for(&mut self, ms: u64) {
         let until = self.now_ms + ms;
-        while let Some(Reverse((at, item))) = self.queue.peek().copied() {
+        while let Some(Reverse((at, event_id))) = self.queue.peek().copied() {
             if at > until {
                 break;
             }
             self.queue.pop();
             self.now_ms = self.now_ms.max(at);
-            if let Some(happening) = self.items.remove(&item) {
-                self.happen(happening);
+            if let Some(scheduled) = self.events.remove(&event_id) {
+                self.handle_event(scheduled);
             }
         }
         self.now_ms = until;
     }
 
-    /// Lets time pass until `is_so`, at most `ms`.
+    /// Runs the simulation until `condition` holds, for at most `ms`, and
+    /// returns whether it holds. The condition is checked every 50 ms.
     pub fn run_until(
         &mut self,
         ms: u64,
-        mut is_so: impl FnMut(&World) -> bool,
+        mut condition: impl FnMut(&World) -> bool,
     ) -> bool {
         for _ in 0..ms / 50 {
-            if is_so(self) {
+            if condition(self) {
                 return true;
             }
-            self.run(50);
+            self.run_for(50);
         }
-        is_so(self)
+        condition(self)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick(name, incarnation) => {
+    fn handle_event(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Tick(name, incarnation) => {
                 let is_agent = self.nodes[&name].identity.is_agent;
-                let tick = Happening::Tick(name.clone(), incarnation);
+                let tick = ScheduledEvent::Tick(name.clone(), incarnation);
                 if self.incarnation_of(&name) == Some(incarnation) {
-                    self.later(50, tick);
+                    self.schedule(50, tick);
                 }
                 match is_agent {
-                    true => self.pass_to_agent(
+                    true => self.handle_agent_event(
                         &name,
                         incarnation,
                         agent::Event::Tick,
                     ),
-                    false => self.pass_to_entry(
+                    false => self.handle_entry_event(
                         &name,
                         incarnation,
                         entry::Event::Tick,
                     ),
                 }
             }
-            Happening::Agent(name, incarnation, event) => {
-                self.pass_to_agent(&name, incarnation, event)
+            ScheduledEvent::Agent(name, incarnation, event) => {
+                self.handle_agent_event(&name, incarnation, event)
             }
-            Happening::Entry(name, incarnation, event) => {
-                self.pass_to_entry(&name, incarnation, event)
+            ScheduledEvent::Entry(name, incarnation, event) => {
+                self.handle_entry_event(&name, incarnation, event)
             }
-            Happening::Message { from, to, link, body } => {
-                if self.stands(&from, &to, link) {
+            ScheduledEvent::Message { from, to, link, body } => {
+                if self.is_link_up(&from, &to, link) {
                     self.deliver(from, to, body);
                 }
             }
-            Happening::Chunk { from, to, link, manifest, index, digest } => {
-                if self.stands(&from, &to, link) {
+            ScheduledEvent::Chunk {
+                from,
+                to,
+                link,
+                manifest,
+                index,
+                digest,
+            } => {
+                if self.is_link_up(&from, &to, link) {
                     let event = agent::Event::ChunkArrived {
                         manifest,
                         index,
                         source: Source::Peer(from),
                         digest: Some(digest),
                     };
-                    self.tell_agent(&to, event);
-                }
-            }
-            Happening::Sent { from, link: _, event } => {
-                self.tell_agent(&from, event);
-            }
-            Happening::LinkUp(a, b) => self.link_up(&a, &b),
-            Happening::Wake(name) => self.wake(&name),
-            Happening::Silent(name) => self.cut_all(&name),
-            Happening::Order { host, life, incarnation, order } => {
-                match self.targets[&host].life == life {
-                    true => self.obey(&host, incarnation, order),
-                    false => self.fail(&host, incarnation, order),
+                    self.notify_agent(&to, event);
                 }
             }
-            Happening::Run { host, incarnation, key, mark, piece } => {
-                self.run_on(&host, incarnation, key, mark, piece)
+            ScheduledEvent::UploadEnded { from, link: _, event } => {
+                self.notify_agent(&from, event);
             }
+            ScheduledEvent::Connect(a, b) => self.connect(&a, &b),
+            ScheduledEvent::Resume(name) => self.resume(&name),
+            ScheduledEvent::SilenceTimeout(name) => self.disconnect_all(&name),
+            ScheduledEvent::Order {
+                host,
+                replacements,
+                incarnation,
+                order,
+            } => match self.targets[&host].replacements == replacements {
+                true => self.execute_order(&host, incarnation, order),
+                false => self.report_order_failure(&host, incarnation, order),
+            },
+            ScheduledEvent::AnswerPiece {
+                host,
+                incarnation,
+                key,
+                label,
+                piece,
+            } => self.send_answer_piece(&host, incarnation, key, label, piece),
         }
     }
 
+    /// Returns the incarnation of a running process.
     fn incarnation_of(&self, name: &Name) -> Option<u64> {
         let node = self.nodes.get(name)?;
         node.process.as_ref()?;
         Some(node.identity.incarnation)
     }
 
-    /// Whether a process sleeps, or has still to take in what came then.
-    fn is_held_up(&self, name: &Name) -> bool {
+    /// Returns whether events for a process must be deferred: it is paused, or
+    /// events deferred earlier were not delivered yet.
+    fn must_defer(&self, name: &Name) -> bool {
         let node = &self.nodes[name];
-        node.paused_until > self.now_ms || !node.inbox.is_empty()
+        node.paused_until_ms > self.now_ms || !node.deferred.is_empty()
     }
 
-    fn hold(&mut self, name: &Name, happening: Happening) {
-        let node = self.nodes.get_mut(name).expect("it is there");
-        node.inbox.push_back(happening);
-        if node.inbox.len() == 1 {
-            let wait = node.paused_until.saturating_sub(self.now_ms);
-            self.later(wait, Happening::Wake(name.clone()));
+    /// Defers an event until the process's pause ends.
+    fn defer(&mut self, name: &Name, scheduled: ScheduledEvent) {
+        let node = self.nodes.get_mut(name).expect("it exists");
+        node.deferred.push_back(scheduled);
+        if node.deferred.len() == 1 {
+            let delay_ms = node.paused_until_ms.saturating_sub(self.now_ms);
+            self.schedule(delay_ms, ScheduledEvent::Resume(name.clone()));
         }
     }
 
-    fn wake(&mut self, name: &Name) {
-        let node = self.nodes.get_mut(name).expect("it is there");
-        if node.paused_until > self.now_ms {
-            let wait = node.paused_until - self.now_ms;
-            return self.later(wait, Happening::Wake(name.clone()));
+    /// Delivers the deferred events of a process, unless its pause was
+    /// extended.
+    fn resume(&mut self, name: &Name) {
+        let node = self.nodes.get_mut(name).expect("it exists");
+        if node.paused_until_ms > self.now_ms {
+            let delay_ms = node.paused_until_ms - self.now_ms;
+            return self
+                .schedule(delay_ms, ScheduledEvent::Resume(name.clone()));
         }
-        let inbox = std::mem::take(&mut node.inbox);
-        for happening in inbox {
-            self.happen(happening);
+        let deferred = std::mem::take(&mut node.deferred);
+        for scheduled in deferred {
+            self.handle_event(scheduled);
         }
     }
 
-    fn tell_agent(&mut self, name: &Name, event: agent::Event) {
+    /// Passes an event to the current incarnation of an agent.
+    fn notify_agent(&mut self, name: &Name, event: agent::Event) {
         if let Some(incarnation) = self.incarnation_of(name) {
-            self.pass_to_agent(name, incarnation, event);
+            self.handle_agent_event(name, incarnation, event);
         }
     }
 
-    fn tell_entry(&mut self, name: &Name, event: entry::Event) {
+    /// Passes an event to the current incarnation of an entry host.
+    fn notify_entry(&mut self, name: &Name, event: entry::Event) {
         if let Some(incarnation) = self.incarnation_of(name) {
-            self.pass_to_entry(name, incarnation, event);
+            self.handle_entry_event(name, incarnation, event);
         }
     }
 
-    fn pass_to_agent(
+    /// Passes an event to an agent and applies the effects. An event for an
+    /// ended incarnation is dropped, one for a paused process is deferred.
+    fn handle_agent_event(
         &mut self,
         name: &Name,
         incarnation: u64,
@@ -628,23 +744,26 @@
         if self.incarnation_of(name) != Some(incarnation) {
             return;
         }
-        if self.is_held_up(name) {
-            let again = Happening::Agent(name.clone(), incarnation, event);
-            return self.hold(name, again);
+        if self.must_defer(name) {
+            let scheduled =
+                ScheduledEvent::Agent(name.clone(), incarnation, event);
+            return self.defer(name, scheduled);
         }
-        let node = self.nodes.get_mut(name).expect("it is there");
+        let node = self.nodes.get_mut(name).expect("it exists");
         let Some(Process::Agent(agent)) = &mut node.process else { return };
         let mut effects = vec![];
         agent.reduce(self.now_ms, event, &mut effects);
         if agent.is_leaving() {
-            self.left_at.entry(name.clone()).or_insert(self.now_ms);
+            self.left_at_ms.entry(name.clone()).or_insert(self.now_ms);
         }
         for effect in effects {
-            self.agent_effect(name, incarnation, effect);
+            self.apply_agent_effect(name, incarnation, effect);
         }
     }
 
-    fn pass_to_entry(
+    /// Passes an event to an entry host and applies the effects. An event for
+    /// an ended incarnation is dropped, one for a paused process is deferred.
+    fn handle_entry_event(
         &mut self,
         name: &Name,
         incarnation: u64,
@@ -653,20 +772,21 @@
         if self.incarnation_of(name) != Some(incarnation) {
             return;
         }
-        if self.is_held_up(name) {
-            let again = Happening::Entry(name.clone(), incarnation, event);
-            return self.hold(name, again);
+        if self.must_defer(name) {
+            let scheduled =
+                ScheduledEvent::Entry(name.clone(), incarnation, event);
+            return self.defer(name, scheduled);
         }
-        let node = self.nodes.get_mut(name).expect("it is there");
+        let node = self.nodes.get_mut(name).expect("it exists");
         let Some(Process::Entry(entry)) = &mut node.process else { return };
         let mut effects = vec![];
         entry.reduce(self.now_ms, event, &mut effects);
         for effect in effects {
-            self.entry_effect(name, incarnation, effect);
+            self.apply_entry_effect(name, incarnation, effect);
         }
     }
 
-    fn agent_effect(
+    fn apply_agent_effect(
         &mut self,
         name: &Name,
         incarnation: u64,
@@ -675,9 +795,9 @@
         use agent::Effect as E;
         match effect {
             E::ToEntry(to, body) => self.send(name, &to, body, true),
-            E::Dial { name: peer, .. } => self.want_link(name, &peer),
+            E::Dial { name: peer, .. } => self.dial(name, &peer),
             E::Disconnect(peer) => {
-                self.cut(name, &peer);
+                self.disconnect(name, &peer);
                 self.links.remove(&(name.clone(), peer));
             }
             E::ToPeer(to, body) => self.send(name, &to, body, true),
@@ -698,18 +818,18 @@
                     source: Source::Origin,
                     digest,
                 };
-                let wait = self.rng.random_range(5..30);
-                self.later(
-                    wait,
-                    Happening::Agent(name.clone(), incarnation, event),
+                let delay_ms = self.rng.random_range(5..30);
+                self.schedule(
+                    delay_ms,
+                    ScheduledEvent::Agent(name.clone(), incarnation, event),
                 );
             }
-            E::Stage { manifest, index, digest, round } => self.order(
+            E::Stage { manifest, index, digest, round } => self.send_order(
                 name,
                 incarnation,
                 TargetOrder::Stage(manifest, index, digest, round),
             ),
-            E::Activate { model, manifest, fence } => self.order(
+            E::Activate { model, manifest, fence } => self.send_order(
                 name,
                 incarnation,
                 TargetOrder::Activate(model, manifest, fence),
@@ -719,37 +839,35 @@
                 let serves =
                     active.map(|digest| (MODEL.into(), digest)).into_iter();
                 let event = agent::Event::TargetServes(serves.collect());
-                let wait = self.rng.random_range(1..20);
-                self.later(
-                    wait,
-                    Happening::Agent(name.clone(), incarnation, event),
+                let delay_ms = self.rng.random_range(1..20);
+                self.schedule(
+                    delay_ms,
+                    ScheduledEvent::Agent(name.clone(), incarnation, event),
                 );
             }
             E::StartRun(order) => self.start_run(name, incarnation, order),
             E::StopRun(key) => {
-                let target = self.targets.get_mut(name).expect("it is there");
-                target.stopped.insert(key.clone());
+                let target = self.targets.get_mut(name).expect("it exists");
+                target.stopped_runs.insert(key.clone());
                 let ended = agent::Event::RunEnded(key, Code::Cancelled);
-                self.later(
+                self.schedule(
                     1,
-                    Happening::Agent(name.clone(), incarnation, ended),
+                    ScheduledEvent::Agent(name.clone(), incarnation, ended),
                 );
             }
             E::Stop => {
-                let agent = self.agent(name).expect("it is there");
-                self.stop_with_runs += agent.ledger().running() as u64;
+                let agent = self.agent(name).expect("it exists");
+                self.unfinished_at_stop += agent.ledger().running() as u64;
                 self.stopped.insert(name.clone());
                 self.kill(&name.clone());
             }
-            E::DialEntry(peer) => {
-                self.want_link(name, &peer.name.as_str().into())
-            }
+            E::DialEntry(peer) => self.dial(name, &peer.name.as_str().into()),
             E::KeepChunk(_) | E::Discard(_) | E::DropChunk(_) | E::Log(..) => {
             }
         }
     }
 
-    fn entry_effect(
+    fn apply_entry_effect(
         &mut self,
         name: &Name,
         incarnation: u64,
@@ -759,7 +877,7 @@
         match effect {
             E::ToAgent(to, body) => {
                 if let (Body::Dispatch(_), Some(left)) =
-                    (&body, self.left_at.get(&to))
+                    (&body, self.left_at_ms.get(&to))
                     && self.now_ms > left + 2_000
                 {
                     self.late_dispatches += 1;
@@ -767,36 +885,38 @@
                 self.send(name, &to, body, false)
             }
             E::ToEntry(to, body) => self.send(name, &to, body, true),
-            E::DialEntry(peer) => {
-                self.want_link(name, &peer.name.as_str().into())
-            }
+            E::DialEntry(peer) => self.dial(name, &peer.name.as_str().into()),
             E::Stream(request, data) => {
                 self.streams.entry(request).or_default().extend(data)
             }
-            E::Finish(request, last) => {
+            E::Finish(request, response) => {
                 let streamed =
                     self.streams.remove(&request).unwrap_or_default();
-                let before = self.finals.insert(request, (last, streamed));
-                assert!(before.is_none(), "two last words for {request}");
+                let previous =
+                    self.responses.insert(request, (response, streamed));
+                assert!(
+                    previous.is_none(),
+                    "two final responses for request {request}"
+                );
             }
             E::ReadManifest { digest, origin_path } => {
                 let manifest = self.origin.get(&origin_path).cloned();
                 let event = entry::Event::ManifestRead { digest, manifest };
-                let wait = self.rng.random_range(1..20);
-                self.later(
-                    wait,
-                    Happening::Entry(name.clone(), incarnation, event),
+                let delay_ms = self.rng.random_range(1..20);
+                self.schedule(
+                    delay_ms,
+                    ScheduledEvent::Entry(name.clone(), incarnation, event),
                 );
             }
             E::Stop => {
-                let entry = self.entry(name).expect("it is there");
-                self.stop_with_runs += entry.in_progress() as u64;
+                let entry = self.entry(name).expect("it exists");
+                self.unfinished_at_stop += entry.in_progress() as u64;
                 self.stopped.insert(name.clone());
                 self.kill(&name.clone());
             }
             E::Watch(true) => {
                 self.watching.insert(name.clone());
-                self.offer_platform(name);
+                self.read_settings(name);
             }
             E::Watch(false) => {
                 self.watching.remove(name);
@@ -805,21 +925,34 @@
         }
     }
 
-    fn order(&mut self, host: &Name, incarnation: u64, order: TargetOrder) {
-        // Now and then an order is held up for long, as when its sender was
-        // frozen after it had sent it.
-        let wait = match self.rng.random_range(0..100) {
+    /// Sends an order to the target of `host`.
+    fn send_order(
+        &mut self,
+        host: &Name,
+        incarnation: u64,
+        order: TargetOrder,
+    ) {
+        // A few orders are delayed by seconds, as if their sender had been
+        // frozen while it sent them.
+        let delay_ms = match self.rng.random_range(0..100) {
             0..3 => self.rng.random_range(500..4_000),
             _ => self.rng.random_range(1..20),
         };
         let host = host.clone();
-        let life = self.targets[&host].life;
-        let order = Happening::Order { host, life, incarnation, order };
-        self.later(wait, order);
+        let replacements = self.targets[&host].replacements;
+        let order =
+            ScheduledEvent::Order { host, replacements, incarnation, order };
+        self.schedule(delay_ms, order);
     }
 
-    fn obey(&mut self, host: &Name, incarnation: u64, order: TargetOrder) {
-        let target = self.targets.get_mut(host).expect("it is there");
+    /// Carries out an order at a target and reports the result to the agent.
+    fn execute_order(
+        &mut self,
+        host: &Name,
+        incarnation: u64,
+        order: TargetOrder,
+    ) {
+        let target = self.targets.get_mut(host).expect("it exists");
         let event = match order {
             TargetOrder::Stage(manifest, index, digest, round) => {
                 target
@@ -830,9 +963,9 @@
                 agent::Event::Staged { manifest, index, round, stored: true }
             }
             TargetOrder::Activate(model, manifest, fence) => {
-                let is_low =
+                let is_stale =
                     target.fence.is_some_and(|highest| fence < highest);
-                let activated = !(target.checks_fences && is_low);
+                let activated = !(target.checks_fences && is_stale);
                 if activated {
                     target.active = Some(manifest);
                     target.fence = target.fence.max(Some(fence));
@@ -840,13 +973,21 @@
                 agent::Event::Activated { model, manifest, activated }
             }
         };
-        let wait = self.rng.random_range(1..10);
-        self.later(wait, Happening::Agent(host.clone(), incarnation, event));
+        let delay_ms = self.rng.random_range(1..10);
+        self.schedule(
+            delay_ms,
+            ScheduledEvent::Agent(host.clone(), incarnation, event),
+        );
     }
 
-    /// An order on its way is lost with the target it went to, and its
-    /// sender hears that.
-    fn fail(&mut self, host: &Name, incarnation: u64, order: TargetOrder) {
+    /// Reports to the agent that an order failed because the target was
+    /// replaced while the order was in transit.
+    fn report_order_failure(
+        &mut self,
+        host: &Name,
+        incarnation: u64,
+        order: TargetOrder,
+    ) {
         let event = match order {
             TargetOrder::Stage(manifest, index, _, round) => {
                 agent::Event::Staged { manifest, index, round, stored: false }
@@ -855,11 +996,15 @@
                 agent::Event::Activated { model, manifest, activated: false }
             }
         };
-        self.later(0, Happening::Agent(host.clone(), incarnation, event));
+        self.schedule(
+            0,
+            ScheduledEvent::Agent(host.clone(), incarnation, event),
+        );
     }
 
-    /// Whether what a target serves is all of one published version.
-    pub fn is_whole(&self, host: &Name) -> bool {
+    /// Returns whether a target has all correct chunks of the version that it
+    /// serves, or serves none.
+    pub fn serves_whole_version(&self, host: &Name) -> bool {
         let target = &self.targets[host];
         let Some(digest) = target.active else { return true };
         let slot = &target.slots[&digest];
@@ -871,7 +1016,7 @@
             .all(|(index, chunk)| slot.get(&index) == Some(chunk))
     }
 
-    /// Where every process stands, for a failed run.
+    /// Describes the state of all running processes, for failure messages.
     pub fn describe(&self) -> String {
         let mut out = format!("settings {:?}\n", self.trees.keys().last());
         for name in self.names(false) {
@@ -904,94 +1049,121 @@
         out
     }
 
+    /// Records a run at the target of `host` and schedules its answer.
     fn start_run(&mut self, host: &Name, incarnation: u64, order: RunOrder) {
-        if self.left_at.contains_key(host) {
+        if self.left_at_ms.contains_key(host) {
             self.late_runs += 1;
         }
-        let mark = String::from_utf8(order.payload).expect("it is text");
-        *self.runs.entry(mark.clone()).or_default() += 1;
-        if !self.is_whole(host) || self.targets[host].active.is_none() {
-            self.targets.get_mut(host).expect("there").served_partial += 1;
+        let label = String::from_utf8(order.payload).expect("it is UTF-8");
+        *self.runs.entry(label.clone()).or_default() += 1;
+        if !self.serves_whole_version(host)
+            || self.targets[host].active.is_none()
+        {
+            self.targets.get_mut(host).expect("it exists").invalid_runs += 1;
         }
-        let wait = self.rng.random_range(5..60);
+        let delay_ms = self.rng.random_range(5..60);
         let host = host.clone();
         let key = order.key;
-        let run = Happening::Run { host, incarnation, key, mark, piece: 0 };
-        self.later(wait, run);
+        let first = ScheduledEvent::AnswerPiece {
+            host,
+            incarnation,
+            key,
+            label,
+            piece: 0,
+        };
+        self.schedule(delay_ms, first);
     }
 
-    fn run_on(
+    /// Sends the piece of a run's answer with the index `piece` to the agent
+    /// and schedules the next one. Ends the run after the last piece. Does
+    /// nothing if the run was stopped.
+    fn send_answer_piece(
         &mut self,
         host: &Name,
         incarnation: u64,
         key: Name,
-        mark: String,
+        label: String,
         piece: usize,
     ) {
-        if self.targets[host].stopped.contains(&key) {
+        if self.targets[host].stopped_runs.contains(&key) {
             return;
         }
-        let answer = answer(&mark);
+        let answer = answer(&label);
         let size = answer.len().div_ceil(4);
-        let wait = self.rng.random_range(5..60);
+        let delay_ms = self.rng.random_range(5..60);
         let event = match answer.chunks(size).nth(piece) {
             Some(data) => {
-                let next = Happening::Run {
+                let next = ScheduledEvent::AnswerPiece {
                     host: host.clone(),
                     incarnation,
                     key: key.clone(),
-                    mark: mark.clone(),
+                    label: label.clone(),
                     piece: piece + 1,
                 };
-                self.later(wait, next);
+                self.schedule(delay_ms, next);
                 agent::Event::RunPiece(key, data.to_vec())
             }
             None => agent::Event::RunEnded(key, Code::Done),
         };
-        self.later(0, Happening::Agent(host.clone(), incarnation, event));
+        self.schedule(
+            0,
+            ScheduledEvent::Agent(host.clone(), incarnation, event),
+        );
     }
 
-    fn want_link(&mut self, a: &Name, b: &Name) {
+    /// Schedules the connection from `a` to `b`, unless it is maintained
+    /// already.
+    fn dial(&mut self, a: &Name, b: &Name) {
         let link = self.links.entry((a.clone(), b.clone())).or_default();
-        if !link.is_wanted {
-            link.is_wanted = true;
-            let wait = self.rng.random_range(1..50);
-            self.later(wait, Happening::LinkUp(a.clone(), b.clone()));
+        if !link.is_dialled {
+            link.is_dialled = true;
+            let delay_ms = self.rng.random_range(1..50);
+            self.schedule(
+                delay_ms,
+                ScheduledEvent::Connect(a.clone(), b.clone()),
+            );
         }
     }
 
-    fn link_up(&mut self, a: &Name, b: &Name) {
+    /// Establishes the connection that `a` dials to `b` and notifies both
+    /// ends. Tries again later while `b` is dead or partitioned from `a`.
+    fn connect(&mut self, a: &Name, b: &Name) {
         let Some(link) = self.links.get(&(a.clone(), b.clone())) else {
             return;
         };
         if link.is_up || !self.is_alive(a) {
             return;
         }
-        let is_parted = self.parted.contains(&(a.clone(), b.clone()));
-        if is_parted || !self.is_alive(b) {
-            return self.later(200, Happening::LinkUp(a.clone(), b.clone()));
+        let is_partitioned = self.partitions.contains(&(a.clone(), b.clone()));
+        if is_partitioned || !self.is_alive(b) {
+            return self
+                .schedule(200, ScheduledEvent::Connect(a.clone(), b.clone()));
         }
-        self.next_link += 1;
-        let number = self.next_link;
+        self.next_link_id += 1;
+        let link_id = self.next_link_id;
         let link =
-            self.links.get_mut(&(a.clone(), b.clone())).expect("it is there");
+            self.links.get_mut(&(a.clone(), b.clone())).expect("it exists");
         link.is_up = true;
-        link.number = number;
-        let (ia, ib) =
+        link.id = link_id;
+        let (identity_a, identity_b) =
             (self.nodes[a].identity.clone(), self.nodes[b].identity.clone());
-        match (ia.is_agent, ib.is_agent) {
+        match (identity_a.is_agent, identity_b.is_agent) {
             (true, false) => {
-                self.tell_agent(a, agent::Event::EntryUp(ib));
-                self.tell_entry(b, entry::Event::AgentUp(ia));
+                self.notify_agent(a, agent::Event::EntryUp(identity_b));
+                self.notify_entry(b, entry::Event::AgentUp(identity_a));
             }
             (true, true) => {
-                self.tell_agent(a, agent::Event::PeerUp(b.clone()))
+                self.notify_agent(a, agent::Event::PeerUp(b.clone()))
+            }
+            (false, _) => {
+                self.notify_entry(a, entry::Event::EntryUp(identity_b))
             }
-            (false, _) => self.tell_entry(a, entry::Event::EntryUp(ib)),
         }
     }
 
-    fn tell_down(&mut self, at: &Name, other: &Name, dialled: bool) {
+    /// Notifies the process `at` that its connection to `other` broke.
+    /// `dialled` tells whether `at` dialled it.
+    fn notify_link_down(&mut self, at: &Name, other: &Name, dialled: bool) {
         let other_is_agent = self.nodes[other].identity.is_agent;
         let other = other.clone();
         if self.nodes[at].identity.is_agent {
@@ -1000,30 +1172,37 @@
                 (true, true) => agent::Event::PeerDown(other),
                 (true, false) => agent::Event::PeerLeft(other),
             };
-            self.tell_agent(at, event);
+            self.notify_agent(at, event);
         } else if other_is_agent {
-            self.tell_entry(at, entry::Event::AgentDown(other));
+            self.notify_entry(at, entry::Event::AgentDown(other));
         } else if dialled {
-            self.tell_entry(at, entry::Event::EntryDown(other));
+            self.notify_entry(at, entry::Event::EntryDown(other));
         }
     }
 
-    /// Sends over the connection that `from` dialled, or that `to` did.
+    /// Sends a message over the connection that `from` dialled, or over the
+    /// one that `to` dialled if `dialled` is false. The message is lost if
+    /// that connection is down.
     fn send(&mut self, from: &Name, to: &Name, body: Body, dialled: bool) {
-        let Some((wait, link)) = self.way(from, to, dialled) else { return };
-        let message = Happening::Message {
+        let Some((delay_ms, link)) = self.reserve_arrival(from, to, dialled)
+        else {
+            return;
+        };
+        let message = ScheduledEvent::Message {
             from: from.clone(),
             to: to.clone(),
             link,
             body,
         };
         if self.rng.random_range(0..100) < self.duplicate_percent {
-            let again = wait + self.rng.random_range(0..50);
-            self.later(again, message.clone());
+            let duplicate_delay_ms = delay_ms + self.rng.random_range(0..50);
+            self.schedule(duplicate_delay_ms, message.clone());
         }
-        self.later(wait, message);
+        self.schedule(delay_ms, message);
     }
 
+    /// Sends a chunk over the connection that `to` dialled. The sender's
+    /// upload slot is released even if the connection is down.
     fn send_chunk(
         &mut self,
         from: &Name,
@@ -1032,21 +1211,25 @@
         index: usize,
         digest: Digest,
     ) {
-        let link = self.way(from, to, false);
+        let link = self.reserve_arrival(from, to, false);
         let sent =
             agent::Event::ChunkSent { peer: to.clone(), manifest, index };
-        let busy = self.rng.random_range(5..25);
-        self.later(
-            busy,
-            Happening::Sent { from: from.clone(), link: 0, event: sent },
+        let upload_ms = self.rng.random_range(5..25);
+        self.schedule(
+            upload_ms,
+            ScheduledEvent::UploadEnded {
+                from: from.clone(),
+                link: 0,
+                event: sent,
+            },
         );
-        let Some((wait, link)) = link else { return };
+        let Some((delay_ms, link)) = link else { return };
         let is_corrupt = self.rng.random_range(0..100) < self.corrupt_percent;
         let digest = match is_corrupt {
             true => Digest::of(&self.rng.random::<[u8; 8]>()),
             false => digest,
         };
-        let chunk = Happening::Chunk {
+        let chunk = ScheduledEvent::Chunk {
             from: from.clone(),
             to: to.clone(),
             link,
@@ -1054,11 +1237,13 @@
             index,
             digest,
         };
-        self.later(busy + wait, chunk);
+        self.schedule(upload_ms + delay_ms, chunk);
     }
 
-    /// How long a message takes, and over which connection; in order.
-    fn way(
+    /// Reserves the arrival of a message and returns its delay and the id of
+    /// the connection. Messages over a connection arrive in order. Returns
+    /// `None` if the connection is down.
+    fn reserve_arrival(
         &mut self,
         from: &Name,
         to: &Name,
@@ -1068,23 +1253,25 @@
             true => (from.clone(), to.clone()),
             false => (to.clone(), from.clone()),
         };
-        let wait = self.rng.random_range(1..15);
+        let delay_ms = self.rng.random_range(1..15);
         let link = self.links.get_mut(&ends).filter(|link| link.is_up)?;
-        let last = &mut link.last_ms[usize::from(dialled)];
-        let at = (self.now_ms + wait).max(*last);
-        *last = at;
-        Some((at - self.now_ms, link.number))
+        let last_arrival_ms = &mut link.last_arrival_ms[usize::from(dialled)];
+        let arrival_ms = (self.now_ms + delay_ms).max(*last_arrival_ms);
+        *last_arrival_ms = arrival_ms;
+        Some((arrival_ms - self.now_ms, link.id))
     }
 
-    /// Whether the connection that a message was sent over still stands.
-    fn stands(&self, a: &Name, b: &Name, number: u64) -> bool {
+    /// Returns whether the connection with this id between `a` and `b` is
+    /// still up.
+    fn is_link_up(&self, a: &Name, b: &Name, link_id: u64) -> bool {
         [(a.clone(), b.clone()), (b.clone(), a.clone())].iter().any(|ends| {
             self.links
                 .get(ends)
-                .is_some_and(|link| link.is_up && link.number == number)
+                .is_some_and(|link| link.is_up && link.id == link_id)
         })
     }
 
+    /// Passes a message to its receiver as the matching event.
     fn deliver(&mut self, from: Name, to: Name, body: Body) {
         let Some(node) = self.nodes.get(&to) else { return };
         let from_agent = self.nodes[&from].identity.is_agent;
@@ -1095,7 +1282,7 @@
                     text: settings.text.as_str().into(),
                     tree: Box::new(self.trees[&settings.revision].clone()),
                 };
-                self.tell_agent(&to, event);
+                self.notify_agent(&to, event);
             }
             (false, Body::Settings(settings)) => {
                 let event = entry::Event::Settings {
@@ -1103,48 +1290,51 @@
                     text: settings.text.as_str().into(),
                     tree: Box::new(self.trees[&settings.revision].clone()),
                 };
-                self.tell_entry(&to, event);
+                self.notify_entry(&to, event);
             }
             (true, Body::Manifest(body)) => {
                 if let Some(manifest) = Manifest::decode(&body.encoded) {
                     let event = agent::Event::ManifestArrived(manifest);
-                    self.tell_agent(&to, event);
+                    self.notify_agent(&to, event);
                 }
             }
             (true, body) if from_agent => {
-                self.tell_agent(&to, agent::Event::FromPeer(from, body));
+                self.notify_agent(&to, agent::Event::FromPeer(from, body));
             }
             (true, body) => {
-                self.tell_agent(&to, agent::Event::FromEntry(from, body));
+                self.notify_agent(&to, agent::Event::FromEntry(from, body));
             }
             (false, body) if from_agent => {
-                self.tell_entry(&to, entry::Event::FromAgent(from, body));
+                self.notify_entry(&to, entry::Event::FromAgent(from, body));
             }
             (false, body) => {
-                self.tell_entry(&to, entry::Event::FromEntry(from, body));
+                self.notify_entry(&to, entry::Event::FromEntry(from, body));
             }
         }
     }
 
-    fn later(&mut self, wait: u64, happening: Happening) {
-        let item = self.next_item;
-        self.next_item += 1;
-        self.items.insert(item, happening);
-        self.queue.push(Reverse((self.now_ms + wait, item)));
+    /// Schedules an event after `delay_ms`.
+    fn schedule(&mut self, delay_ms: u64, scheduled: ScheduledEvent) {
+        let event_id = self.next_event_id;
+        self.next_event_id += 1;
+        self.events.insert(event_id, scheduled);
+        self.queue.push(Reverse((self.now_ms + delay_ms, event_id)));
     }
 }
 
-/// The answer that a target gives to the request with this mark.
-pub fn answer(mark: &str) -> Vec<u8> {
-    format!("answer to {mark}, and to nobody else").into_bytes()
+/// Returns the answer that targets give to the request with this label.
+pub fn answer(label: &str) -> Vec<u8> {
+    format!("answer to {label}, and to nobody else").into_bytes()
 }
 
-/// Settings in which every host of the pool serves one version.
+/// Returns settings in which every host of the pool serves the version with
+/// this manifest, published at [`ORIGIN_PATH`].
 pub fn settings(manifest: Digest) -> Tree {
     settings_at(manifest, ORIGIN_PATH)
 }
 
-/// The same, with the version at another path of the origin.
+/// Returns the same settings as [`settings`], with the version published at
+/// `origin_path`.
 pub fn settings_at(manifest: Digest, origin_path: &str) -> Tree {
     let version = tree::Version {
         manifest: manifest.to_hex(),
@@ -1160,7 +1350,7 @@
         versions: BTreeMap::from([("v".to_string(), version)]),
     };
     let organisation = tree::Organisation {
-        key_hashes: vec![Digest::of(KEY).to_hex()],
+        key_hashes: vec![Digest::of(CALLER_KEY).to_hex()],
         rules: tree::Rules {
             requests_per_s: Some(100_000),
             ..tree::Rules::default()
