--- a/crates/raildale-core/tests/request_runs.rs
+++ b/crates/raildale-core/tests/request_runs.rs
@@ -1,4 +1,6 @@
-//! Seeded randomised runs of requests, judged by the targets' own record.
+//! Seeded randomised simulations of requests with injected faults.
+//!
+//! Responses are compared with the runs that the fake targets recorded.
 
 mod world;
 
@@ -16,43 +18,51 @@
 const HOSTS: usize = 6;
 const ENTRIES: usize = 3;
 
-/// What goes wrong while requests flow.
+/// The faults injected while requests are sent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
-    agents_die: bool,
-    entries_die: bool,
-    cuts: bool,
+struct Faults {
+    agent_restarts: bool,
+    entry_restarts: bool,
+    disconnects: bool,
     pauses: bool,
-    parts: bool,
+    partitions: bool,
     duplicates: bool,
+    /// Whether agents are asked to leave. Stopped agents restart.
     leaves: bool,
 }
 
-/// A request as its caller sees it.
+/// A caller, which sends one request, possibly several times.
 #[derive(Clone, Debug)]
 struct Caller {
+    /// The payload, which is unique to the caller and determines the answer.
     label: String,
     repeatable: bool,
     stream: bool,
+    /// The run key with which it sends, if any.
     key: Option<String>,
-    asked_key: Option<u64>,
-    tries: Vec<u64>,
+    /// The number of its pending request for a run key.
+    key_request: Option<u64>,
+    /// The numbers under which it sent the request.
+    requests: Vec<u64>,
 }
 
-struct Load {
+/// A simulation with callers that send requests.
+struct Workload {
     world: World,
     callers: Vec<Caller>,
-    next: u64,
+    /// The newest request or caller number.
+    last_number: u64,
 }
 
-impl Load {
-    fn new(seed: u64) -> Load {
+impl Workload {
+    /// Starts a simulation and waits until all targets serve the model.
+    fn new(seed: u64) -> Workload {
         let mut world = World::new(seed);
         let version = world.publish("first", 4, 0);
         world.add_entries(ENTRIES);
         world.add_agents(HOSTS);
         world.accept_settings(settings(version));
-        let is_up = world.run_until(30_000, |world| {
+        let is_served = world.run_until(30_000, |world| {
             let serving = world
                 .targets
                 .values()
@@ -60,61 +70,63 @@
                 .count();
             serving == HOSTS
         });
-        assert!(is_up, "seed {seed}: the model did not come up");
+        assert!(is_served, "seed {seed}: not all targets serve the model");
         world.run_for(1_000);
-        Load { world, callers: vec![], next: 1 }
+        Workload { world, callers: vec![], last_number: 1 }
     }
 
-    fn entry(&mut self) -> Name {
+    /// Returns the name of a random entry host.
+    fn random_entry(&mut self) -> Name {
         let names = self.world.names(false);
-        let place = self.world.rng.random_range(0..names.len());
-        names[place].clone()
+        let index = self.world.rng.random_range(0..names.len());
+        names[index].clone()
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    /// Returns a new request or caller number.
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Fetches a run key and waits for it.
+    /// Requests a run key and returns it.
     fn fetch_key(&mut self) -> Name {
-        let request = self.number();
+        let request = self.next_number();
         let issue = entry::Event::IssueKey {
             request,
             key_hash: Digest::of(CALLER_KEY),
             model: "m".into(),
         };
-        let at = self.entry();
+        let at = self.random_entry();
         self.world.submit(&at, issue);
         self.world.run_for(100);
-        let last = &self.world.responses[&request].0;
-        last.run_key.clone().expect("a key")
+        let response = &self.world.responses[&request].0;
+        response.run_key.clone().expect("a key")
     }
 
-    /// A new caller: some hold a key from before, as those do who want to
-    /// ask again.
-    fn arrive(&mut self) {
-        let number = self.number();
+    /// Adds a caller. Half of the callers request a run key first, with which
+    /// they can repeat their request; the others send it at once.
+    fn add_caller(&mut self) {
+        let number = self.next_number();
         let repeatable = self.world.rng.random_range(0..2) == 0;
-        let holds_key = self.world.rng.random_range(0..2) == 0;
+        let wants_key = self.world.rng.random_range(0..2) == 0;
         let stream = self.world.rng.random_range(0..4) == 0;
         let mut caller = Caller {
             label: format!("r{number}"),
             repeatable,
             stream,
             key: None,
-            asked_key: None,
-            tries: vec![],
+            key_request: None,
+            requests: vec![],
         };
-        if holds_key {
-            let request = self.number();
-            caller.asked_key = Some(request);
+        if wants_key {
+            let request = self.next_number();
+            caller.key_request = Some(request);
             let event = entry::Event::IssueKey {
                 request,
                 key_hash: Digest::of(CALLER_KEY),
                 model: "m".into(),
             };
-            let at = self.entry();
+            let at = self.random_entry();
             self.world.submit(&at, event);
         } else {
             self.send(&mut caller);
@@ -122,9 +134,10 @@
         self.callers.push(caller);
     }
 
+    /// Sends a caller's request to a random entry host.
     fn send(&mut self, caller: &mut Caller) {
-        let request = self.number();
-        caller.tries.push(request);
+        let request = self.next_number();
+        caller.requests.push(request);
         let submission = Submission {
             key_hash: Digest::of(CALLER_KEY),
             model: "m".into(),
@@ -140,20 +153,22 @@
         };
         let event =
             entry::Event::Submit { request, submission: Box::new(submission) };
-        let at = self.entry();
+        let at = self.random_entry();
         self.world.submit(&at, event);
     }
 
-    /// Callers that have their key send; some do so twice at once, and some
-    /// again after an answer that left the outcome open.
-    fn go_on(&mut self) {
+    /// Sends the requests of callers that have received their run key, a third
+    /// of them twice at once. Repeats some of the requests sent earlier with a
+    /// key, up to four sends each.
+    fn advance_callers(&mut self) {
         let mut callers = std::mem::take(&mut self.callers);
         for caller in &mut callers {
-            if let Some(asked) = caller.asked_key
-                && let Some((last, _)) = self.world.responses.get(&asked)
+            if let Some(request) = caller.key_request
+                && let Some((response, _)) = self.world.responses.get(&request)
             {
-                caller.asked_key = None;
-                caller.key = last.run_key.as_ref().map(|key| key.to_string());
+                caller.key_request = None;
+                caller.key =
+                    response.run_key.as_ref().map(|key| key.to_string());
                 if caller.key.is_some() {
                     self.send(caller);
                     if self.world.rng.random_range(0..3) == 0 {
@@ -161,53 +176,62 @@
                     }
                 }
             }
-            let may_try = caller.key.is_some()
-                && (1..4).contains(&caller.tries.len())
+            let is_repeated = caller.key.is_some()
+                && (1..4).contains(&caller.requests.len())
                 && self.world.rng.random_range(0..4) == 0;
-            if may_try {
+            if is_repeated {
                 self.send(caller);
             }
         }
         self.callers = callers;
     }
 
-    fn disturb(&mut self, trouble: Trouble) {
+    /// Injects random faults of the enabled kinds, and restarts the processes
+    /// that have stopped.
+    fn inject_faults(&mut self, faults: Faults) {
         let world = &mut self.world;
-        let mut dice = |one_in: u32| world.rng.random_range(0..one_in) == 0;
-        let (agent_dies, entry_dies, disconnect, pause, partition, leave) = (
-            trouble.agents_die && dice(30),
-            trouble.entries_die && dice(40),
-            trouble.cuts && dice(6),
-            trouble.pauses && dice(15),
-            trouble.parts && dice(20),
-            trouble.leaves && dice(30),
+        let mut one_in = |count: u32| world.rng.random_range(0..count) == 0;
+        let (
+            restart_agent,
+            restart_entry,
+            disconnect,
+            pause,
+            partition,
+            leave,
+        ) = (
+            faults.agent_restarts && one_in(30),
+            faults.entry_restarts && one_in(40),
+            faults.disconnects && one_in(6),
+            faults.pauses && one_in(15),
+            faults.partitions && one_in(20),
+            faults.leaves && one_in(30),
         );
-        if agent_dies {
-            let name = self.any(true);
+        if restart_agent {
+            let name = self.random_name(true);
             self.world.restart(&name);
         }
-        if entry_dies {
-            let name = self.any(false);
+        if restart_entry {
+            let name = self.random_name(false);
             self.world.restart(&name);
         }
         if disconnect {
-            let name = self.any(true);
+            let name = self.random_name(true);
             self.world.disconnect_all(&name);
         }
         if pause {
             let is_agent = self.world.rng.random_range(0..3) > 0;
-            let name = self.any(is_agent);
+            let name = self.random_name(is_agent);
             let ms = self.world.rng.random_range(50..4_000);
             self.world.pause(&name, ms);
         }
         if partition {
-            let (a, b) = (self.any(true), self.any(false));
+            let (a, b) = (self.random_name(true), self.random_name(false));
             self.world.partition(&a, &b);
         } else if self.world.rng.random_range(0..20) == 0 {
             self.world.heal();
         }
         if leave {
-            let name = self.any(true);
+            let name = self.random_name(true);
             if self.world.is_alive(&name) {
                 self.world.submit_agent_event(&name, agent::Event::Leave);
             }
@@ -218,13 +242,16 @@
         }
     }
 
-    fn any(&mut self, is_agent: bool) -> Name {
+    /// Returns the name of a random agent or entry host.
+    fn random_name(&mut self, is_agent: bool) -> Name {
         let names = self.world.names(is_agent);
-        let place = self.world.rng.random_range(0..names.len());
-        names[place].clone()
+        let index = self.world.rng.random_range(0..names.len());
+        names[index].clone()
     }
 
-    fn judge(&self, seed: u64) -> BTreeMap<Code, u64> {
+    /// Checks the runs and responses of all callers. Returns the number of
+    /// responses with each code.
+    fn check_outcomes(&self, seed: u64) -> BTreeMap<Code, u64> {
         let mut codes = BTreeMap::new();
         for caller in &self.callers {
             let runs =
@@ -236,146 +263,159 @@
                     caller.label
                 );
             }
-            for request in &caller.tries {
-                let Some((last, streamed)) = self.world.responses.get(request)
+            for request in &caller.requests {
+                let Some((response, streamed)) =
+                    self.world.responses.get(request)
                 else {
                     continue;
                 };
-                *codes.entry(last.code).or_default() += 1;
-                judge_one(seed, caller, runs, last, streamed);
+                *codes.entry(response.code).or_default() += 1;
+                check_response(seed, caller, runs, response, streamed);
             }
         }
         codes
     }
 }
 
-fn judge_one(
+/// Checks that a response and the bytes streamed before it belong to the
+/// caller's request, and that the code agrees with the number of runs.
+fn check_response(
     seed: u64,
     caller: &Caller,
     runs: u64,
-    last: &FinalResponse,
+    response: &FinalResponse,
     streamed: &[u8],
 ) {
     let label = &caller.label;
     let expected = answer(label);
-    if last.code == Code::Done {
-        let got = [streamed, last.answer.as_slice()].concat();
+    if response.code == Code::Done {
+        let got = [streamed, response.answer.as_slice()].concat();
         assert_eq!(
             String::from_utf8_lossy(&got),
             String::from_utf8_lossy(&expected),
-            "seed {seed}: {label} got another answer, or a cut one"
+            "seed {seed}: {label} got a wrong or truncated answer"
         );
     } else {
         assert!(
             expected.starts_with(streamed),
-            "seed {seed}: {label} was streamed another's bytes"
+            "seed {seed}: {label} was streamed wrong bytes"
         );
     }
-    if last.code.ran() == Ran::NotRun {
+    if response.code.ran() == Ran::NotRun {
         assert_eq!(
             runs, 0,
-            "seed {seed}: {label} was said not to have run: {}",
-            last.code
+            "seed {seed}: {label} was reported not to have run: {}",
+            response.code
         );
     }
 }
 
-fn flow(seed: u64, trouble: Trouble) -> BTreeMap<Code, u64> {
-    let mut load = Load::new(seed);
-    load.world.duplicate_percent = if trouble.duplicates { 10 } else { 0 };
+/// Runs a workload with faults and checks it. Returns the number of responses
+/// with each code.
+fn run_workload(seed: u64, faults: Faults) -> BTreeMap<Code, u64> {
+    let mut workload = Workload::new(seed);
+    workload.world.duplicate_percent = if faults.duplicates { 10 } else { 0 };
     for _ in 0..150 {
         for _ in 0..2 {
-            load.arrive();
+            workload.add_caller();
         }
-        load.go_on();
-        load.disturb(trouble);
-        load.world.run_for(40);
+        workload.advance_callers();
+        workload.inject_faults(faults);
+        workload.world.run_for(40);
     }
-    load.world.heal();
-    load.world.run_for(8_000);
-    assert_eq!(load.world.late_runs, 0, "seed {seed}: late new work");
-    // An entry host that was frozen or cut off cannot know better; the
-    // leaving agent's refusal is what holds then.
-    if !trouble.pauses && !trouble.cuts && !trouble.parts {
-        assert_eq!(load.world.late_dispatches, 0, "seed {seed}: late notice");
+    workload.world.heal();
+    workload.world.run_for(8_000);
+    assert_eq!(
+        workload.world.late_runs, 0,
+        "seed {seed}: runs at leaving agents"
+    );
+    // An entry host that was paused or disconnected may not know yet that an
+    // agent is leaving. Only the agent's refusal prevents new runs then.
+    if !faults.pauses && !faults.disconnects && !faults.partitions {
+        assert_eq!(
+            workload.world.late_dispatches, 0,
+            "seed {seed}: late dispatches"
+        );
     }
     assert_eq!(
-        load.world.unfinished_at_stop, 0,
-        "seed {seed}: a stop cut runs"
+        workload.world.unfinished_at_stop, 0,
+        "seed {seed}: a stop interrupted runs"
     );
-    for (name, target) in &load.world.targets {
+    for (name, target) in &workload.world.targets {
         assert_eq!(target.invalid_runs, 0, "seed {seed}: {name}");
     }
-    load.judge(seed)
+    workload.check_outcomes(seed)
 }
 
 #[parameterized(
-    calm = { Trouble::default() },
-    agents_die = { Trouble { agents_die: true, ..Trouble::default() } },
-    entry_hosts_die = { Trouble { entries_die: true, ..Trouble::default() } },
-    links_are_cut = { Trouble { cuts: true, ..Trouble::default() } },
-    processes_freeze = { Trouble { pauses: true, ..Trouble::default() } },
-    links_are_parted = { Trouble { parts: true, ..Trouble::default() } },
+    calm = { Faults::default() },
+    agents_die = { Faults { agent_restarts: true, ..Faults::default() } },
+    entry_hosts_die = { Faults { entry_restarts: true, ..Faults::default() } },
+    links_are_cut = { Faults { disconnects: true, ..Faults::default() } },
+    processes_freeze = { Faults { pauses: true, ..Faults::default() } },
+    links_are_partitioned = {
+        Faults { partitions: true, ..Faults::default() }
+    },
     messages_come_twice = {
-        Trouble { duplicates: true, ..Trouble::default() }
+        Faults { duplicates: true, ..Faults::default() }
     },
-    agents_leave = { Trouble { leaves: true, ..Trouble::default() } },
+    agents_leave = { Faults { leaves: true, ..Faults::default() } },
     all_at_once = {
-        Trouble {
-            agents_die: true,
-            entries_die: true,
-            cuts: true,
+        Faults {
+            agent_restarts: true,
+            entry_restarts: true,
+            disconnects: true,
             pauses: true,
-            parts: true,
+            partitions: true,
             duplicates: true,
             leaves: true,
         }
     },
 )]
-fn answers_are_whole_and_words_are_true(trouble: Trouble) {
+fn answers_are_complete_and_codes_are_true(faults: Faults) {
     for seed in seed_range(12) {
         println!("seed {seed}");
-        let codes = flow(seed, trouble);
+        let codes = run_workload(seed, faults);
         println!("{codes:?}");
         let done = codes.get(&Code::Done).copied().unwrap_or(0);
-        assert!(done > 20, "seed {seed}: hardly anything was answered");
+        assert!(done > 20, "seed {seed}: only {done} requests succeeded");
     }
 }
 
-/// Without trouble, everybody who has room gets an answer.
+/// No request is rejected and no outcome is unknown.
 #[test]
-fn nothing_is_refused_or_unknown_without_trouble() {
+fn all_requests_succeed_without_faults() {
     for seed in seed_range(8) {
-        let codes = flow(seed, Trouble::default());
-        let fine = |code: &Code| *code == Code::Done;
-        assert!(codes.keys().all(fine), "seed {seed}: {codes:?}");
+        let codes = run_workload(seed, Faults::default());
+        let is_done = |code: &Code| *code == Code::Done;
+        assert!(codes.keys().all(is_done), "seed {seed}: {codes:?}");
     }
 }
 
-/// A request that is given up on has its last word at once: none outlives
-/// its deadline by more than a tick and the wait for a lost connection.
+/// The final response of a request comes at most a tick and the wait for a
+/// lost connection after its deadline, also if the request is given up.
 #[test]
-fn every_request_gets_one_last_word() {
+fn every_request_gets_one_final_response() {
     for seed in seed_range(8) {
-        let trouble = Trouble {
-            agents_die: true,
-            cuts: true,
+        let faults = Faults {
+            agent_restarts: true,
+            disconnects: true,
             pauses: false,
-            ..Trouble::default()
+            ..Faults::default()
         };
-        let mut load = Load::new(seed);
+        let mut workload = Workload::new(seed);
         for _ in 0..100 {
-            load.arrive();
-            load.go_on();
-            load.disturb(trouble);
-            load.world.run_for(40);
+            workload.add_caller();
+            workload.advance_callers();
+            workload.inject_faults(faults);
+            workload.world.run_for(40);
         }
-        load.world.run_for(3_500);
-        for caller in &load.callers {
-            for request in &caller.tries {
+        workload.world.run_for(3_500);
+        for caller in &workload.callers {
+            for request in &caller.requests {
                 assert!(
-                    load.world.responses.contains_key(request),
-                    "seed {seed}: {} has no last word",
+                    workload.world.responses.contains_key(request),
+                    "seed {seed}: {} has no final response",
                     caller.label
                 );
             }
@@ -383,107 +423,107 @@
     }
 }
 
-/// A key can be asked about, and barred before it runs.
+/// A run key that is revoked before it has run is barred from running.
 #[test]
 fn a_revoked_key_never_runs() {
     for seed in seed_range(8) {
-        let mut load = Load::new(seed);
-        let key = load.fetch_key();
+        let mut workload = Workload::new(seed);
+        let key = workload.fetch_key();
         let revoke = entry::Event::QueryRun {
             request: 1_002,
             key_hash: Digest::of(CALLER_KEY),
             run_key: key.to_string(),
             revoke: true,
         };
-        let at = load.entry();
-        load.world.submit(&at, revoke);
-        load.world.run_for(200);
-        assert_eq!(load.world.responses[&1_002].0.code, Code::Revoked);
+        let at = workload.random_entry();
+        workload.world.submit(&at, revoke);
+        workload.world.run_for(200);
+        assert_eq!(workload.world.responses[&1_002].0.code, Code::Revoked);
         let mut caller = Caller {
             label: "late".into(),
             repeatable: false,
             stream: false,
             key: Some(key.to_string()),
-            asked_key: None,
-            tries: vec![],
+            key_request: None,
+            requests: vec![],
         };
-        load.send(&mut caller);
-        load.world.run_for(3_000);
-        let last = &load.world.responses[&caller.tries[0]].0;
-        assert_eq!(last.code, Code::Revoked);
-        assert!(!load.world.runs.contains_key("late"));
+        workload.send(&mut caller);
+        workload.world.run_for(3_000);
+        let response = &workload.world.responses[&caller.requests[0]].0;
+        assert_eq!(response.code, Code::Revoked);
+        assert!(!workload.world.runs.contains_key("late"));
     }
 }
 
-/// A caller that goes away stops nobody else's run: another try under the
-/// same key still waits for the answer.
+/// If one of two callers with the same run key disconnects, the run goes on
+/// and the other caller gets the answer.
 #[test]
-fn a_caller_that_goes_away_leaves_others_their_run() {
+fn a_disconnected_caller_does_not_end_a_shared_run() {
     for seed in seed_range(8) {
-        let mut load = Load::new(seed);
-        let key = load.fetch_key();
+        let mut workload = Workload::new(seed);
+        let key = workload.fetch_key();
         let mut caller = Caller {
             label: "shared".into(),
             repeatable: true,
             stream: false,
             key: Some(key.to_string()),
-            asked_key: None,
-            tries: vec![],
+            key_request: None,
+            requests: vec![],
         };
-        load.send(&mut caller);
-        load.send(&mut caller);
-        load.world.run_for(40);
-        let gone = entry::Event::CallerGone(caller.tries[0]);
-        for name in load.world.names(false) {
-            load.world.submit(&name, gone.clone());
+        workload.send(&mut caller);
+        workload.send(&mut caller);
+        workload.world.run_for(40);
+        let disconnected = entry::Event::CallerGone(caller.requests[0]);
+        for name in workload.world.names(false) {
+            workload.world.submit(&name, disconnected.clone());
         }
-        load.world.run_for(3_000);
-        let last = &load.world.responses[&caller.tries[1]].0;
-        assert_eq!(last.code, Code::Done, "seed {seed}");
-        assert_eq!(last.answer, answer("shared"), "seed {seed}");
+        workload.world.run_for(3_000);
+        let response = &workload.world.responses[&caller.requests[1]].0;
+        assert_eq!(response.code, Code::Done, "seed {seed}");
+        assert_eq!(response.answer, answer("shared"), "seed {seed}");
     }
 }
 
-/// Whoever holds a key can stop its run: the target is freed, and the key
+/// Revoking the key of a run stops the run, which frees the target, and the key
 /// does not run again.
 #[test]
-fn a_run_is_stopped_by_its_key() {
+fn a_run_is_stopped_by_revoking_its_key() {
     for seed in seed_range(8) {
-        let mut load = Load::new(seed);
-        let key = load.fetch_key();
+        let mut workload = Workload::new(seed);
+        let key = workload.fetch_key();
         let mut caller = Caller {
             label: "stopped".into(),
             repeatable: false,
             stream: false,
             key: Some(key.to_string()),
-            asked_key: None,
-            tries: vec![],
+            key_request: None,
+            requests: vec![],
         };
-        load.send(&mut caller);
-        load.world.run_for(30);
+        workload.send(&mut caller);
+        workload.world.run_for(30);
         let stop = entry::Event::QueryRun {
             request: 1_002,
             key_hash: Digest::of(CALLER_KEY),
             run_key: key.to_string(),
             revoke: true,
         };
-        let at = load.entry();
-        load.world.submit(&at, stop);
-        load.world.run_for(100);
-        load.send(&mut caller);
-        load.world.run_for(3_000);
-        let runs = load.world.runs.get("stopped").copied().unwrap_or(0);
+        let at = workload.random_entry();
+        workload.world.submit(&at, stop);
+        workload.world.run_for(100);
+        workload.send(&mut caller);
+        workload.world.run_for(3_000);
+        let runs = workload.world.runs.get("stopped").copied().unwrap_or(0);
         assert!(runs <= 1, "seed {seed}: ran {runs} times");
-        let stopped = &load.world.responses[&1_002].0;
-        let again = &load.world.responses[&caller.tries[1]].0;
+        let stopped = &workload.world.responses[&1_002].0;
+        let again = &workload.world.responses[&caller.requests[1]].0;
         let expected = match runs {
             0 => Code::Revoked,
             _ => Code::Cancelled,
         };
         assert_eq!(stopped.code, expected, "seed {seed}");
         assert_eq!(again.code, expected, "seed {seed}");
-        for name in load.world.names(true) {
-            let agent = load.world.agent(&name).expect("it is alive");
+        for name in workload.world.names(true) {
+            let agent = workload.world.agent(&name).expect("it is alive");
             assert_eq!(agent.ledger().running(), 0, "seed {seed}: {name}");
         }
     }
