--- a/crates/raildale-core/tests/settings_runs.rs
+++ b/crates/raildale-core/tests/settings_runs.rs
@@ -1,5 +1,7 @@
-//! Seeded randomised runs of settings: written once, in force everywhere,
-//! never back.
+//! Seeded randomised simulations of settings changes with injected faults.
+//!
+//! A change must be written at most once, come into force at all processes and
+//! never be replaced by an older revision.
 
 mod world;
 
@@ -13,22 +15,28 @@
 use world::{World, seed_range, settings, settings_at};
 use yare::parameterized;
 
-/// The platform's object, with every fault that the brief names.
-struct Object {
+/// A fake of the platform's object that holds the settings. It loses replies,
+/// returns stale reads and delays writes.
+struct SettingsObject {
+    /// The ids of the operations that were written, one for each revision.
     history: Vec<String>,
-    in_flight: Vec<(u64, String)>,
-    lose_percent: u32,
+    /// The delayed writes: expected revision and operation id.
+    late_writes: Vec<(u64, String)>,
+    /// The percentage of lost replies.
+    lost_percent: u32,
+    /// The percentage of reads that may be stale.
     stale_percent: u32,
+    /// The percentage of writes that are delayed and get no reply.
     late_percent: u32,
 }
 
-impl Object {
+impl SettingsObject {
     fn revision(&self) -> u64 {
         self.history.len() as u64
     }
 
     fn read(&self, rng: &mut SmallRng) -> Reply {
-        if rng.random_range(0..100) < self.lose_percent {
+        if rng.random_range(0..100) < self.lost_percent {
             return Reply::Lost;
         }
         let is_stale = rng.random_range(0..100) < self.stale_percent;
@@ -40,48 +48,55 @@
         }
     }
 
-    fn write(&mut self, rng: &mut SmallRng, expected: u64, op: &str) -> Reply {
+    fn write(
+        &mut self,
+        rng: &mut SmallRng,
+        expected: u64,
+        operation: &str,
+    ) -> Reply {
         if rng.random_range(0..100) < self.late_percent {
-            self.in_flight.push((expected, op.to_string()));
+            self.late_writes.push((expected, operation.to_string()));
             return Reply::Lost;
         }
-        let reply = self.apply(expected, op);
-        match rng.random_range(0..100) < self.lose_percent {
+        let reply = self.apply(expected, operation);
+        match rng.random_range(0..100) < self.lost_percent {
             true => Reply::Lost,
             false => reply,
         }
     }
 
-    fn apply(&mut self, expected: u64, op: &str) -> Reply {
+    fn apply(&mut self, expected: u64, operation: &str) -> Reply {
         if expected != self.revision() {
             return Reply::Conflict;
         }
-        self.history.push(op.to_string());
+        self.history.push(operation.to_string());
         Reply::Written { revision: self.revision() }
     }
 
-    /// Writes that were held up on their way arrive.
-    fn settle(&mut self, rng: &mut SmallRng) {
-        if !self.in_flight.is_empty() && rng.random_range(0..3) == 0 {
-            let place = rng.random_range(0..self.in_flight.len());
-            let (expected, op) = self.in_flight.remove(place);
-            self.apply(expected, &op);
+    /// Delivers a random delayed write, in one of three calls.
+    fn deliver_late_write(&mut self, rng: &mut SmallRng) {
+        if !self.late_writes.is_empty() && rng.random_range(0..3) == 0 {
+            let index = rng.random_range(0..self.late_writes.len());
+            let (expected, operation) = self.late_writes.remove(index);
+            self.apply(expected, &operation);
         }
     }
 }
 
+/// An operator who makes one change.
 struct Operator {
     writer: Writer,
-    op: String,
+    /// The change's operation id.
+    operation: String,
     step: Step,
 }
 
 impl Operator {
     fn new(number: u64, expected: Option<u64>) -> Operator {
-        let op = format!("op-{number}");
-        let writer = Writer::new(op.clone(), expected);
+        let operation = format!("op-{number}");
+        let writer = Writer::new(operation.clone(), expected);
         let step = writer.start();
-        Operator { writer, op, step }
+        Operator { writer, operation, step }
     }
 }
 
@@ -92,17 +107,17 @@
     writes_come_late = { 0, 0, 40 },
     all_at_once = { 25, 30, 25 },
 )]
-fn a_change_is_written_once_and_reported_truly(
-    lose_percent: u32,
+fn a_change_is_written_once_and_reported_correctly(
+    lost_percent: u32,
     stale_percent: u32,
     late_percent: u32,
 ) {
     for seed in seed_range(300) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut object = Object {
+        let mut object = SettingsObject {
             history: vec![],
-            in_flight: vec![],
-            lose_percent,
+            late_writes: vec![],
+            lost_percent,
             stale_percent,
             late_percent,
         };
@@ -112,89 +127,106 @@
         for _ in 0..200 {
             while operators.len() < 3 {
                 number += 1;
-                let knows = rng.random_range(0..2) == 0;
-                let expected = knows.then(|| object.revision());
+                let has_expected = rng.random_range(0..2) == 0;
+                let expected = has_expected.then(|| object.revision());
                 operators.push(Operator::new(number, expected));
             }
-            let place = rng.random_range(0..operators.len());
-            let operator = &mut operators[place];
+            let index = rng.random_range(0..operators.len());
+            let operator = &mut operators[index];
             let reply = match operator.step {
                 Step::Read => object.read(&mut rng),
                 Step::Write { expected } => {
-                    object.write(&mut rng, expected, &operator.op)
+                    object.write(&mut rng, expected, &operator.operation)
                 }
                 Step::Finished(outcome) => {
-                    outcomes.insert(operator.op.clone(), outcome);
-                    operators.remove(place);
+                    outcomes.insert(operator.operation.clone(), outcome);
+                    operators.remove(index);
                     continue;
                 }
             };
             operator.step = operator.writer.next(reply);
-            object.settle(&mut rng);
+            object.deliver_late_write(&mut rng);
         }
-        while !object.in_flight.is_empty() {
-            object.settle(&mut rng);
+        while !object.late_writes.is_empty() {
+            object.deliver_late_write(&mut rng);
         }
-        judge(seed, &object.history, &outcomes);
+        check_outcomes(seed, &object.history, &outcomes);
     }
 }
 
-fn judge(seed: u64, history: &[String], outcomes: &BTreeMap<String, Outcome>) {
-    for (op, outcome) in outcomes {
-        let times = history.iter().filter(|known| *known == op).count();
-        assert!(times <= 1, "seed {seed}: {op} was written {times} times");
+/// Checks that each change was written at most once and that its reported
+/// outcome is true.
+fn check_outcomes(
+    seed: u64,
+    history: &[String],
+    outcomes: &BTreeMap<String, Outcome>,
+) {
+    for (operation, outcome) in outcomes {
+        let times = history.iter().filter(|known| *known == operation).count();
+        assert!(
+            times <= 1,
+            "seed {seed}: {operation} was written {times} times"
+        );
         match outcome {
             Outcome::Accepted { revision } => {
-                let place = history.iter().position(|known| known == op);
-                let place = place.map(|place| place as u64 + 1);
+                let index =
+                    history.iter().position(|known| known == operation);
+                let written_at = index.map(|index| index as u64 + 1);
                 assert!(
-                    place.is_some_and(|place| place <= *revision),
-                    "seed {seed}: {op} was reported accepted"
+                    written_at
+                        .is_some_and(|written_at| written_at <= *revision),
+                    "seed {seed}: {operation} was reported accepted"
                 );
             }
             Outcome::Conflict | Outcome::NotWritten => assert_eq!(
                 times, 0,
-                "seed {seed}: {op} was reported as {outcome:?}"
+                "seed {seed}: {operation} was reported as {outcome:?}"
             ),
             Outcome::Unsettled => {}
         }
     }
 }
 
-/// What goes wrong while settings change.
+/// The faults injected while settings change.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
+struct Faults {
     restarts: bool,
-    cuts: bool,
+    disconnects: bool,
     pauses: bool,
     duplicates: bool,
 }
 
-fn in_force_everywhere(world: &World, revision: u64) -> bool {
+/// Returns whether all running processes have this revision.
+fn is_in_force_everywhere(world: &World, revision: u64) -> bool {
     let entries = world.names(false).into_iter();
-    let entries_have = entries
+    let entries_match = entries
         .filter_map(|name| world.entry(&name).map(|e| e.revision()))
-        .all(|has| has == revision);
+        .all(|current| current == revision);
     let agents = world.names(true).into_iter();
-    entries_have
+    entries_match
         && agents
             .filter_map(|name| world.agent(&name).map(|a| a.revision()))
-            .all(|has| has == revision)
+            .all(|current| current == revision)
 }
 
 #[parameterized(
-    calm = { Trouble::default() },
-    processes_restart = { Trouble { restarts: true, ..Trouble::default() } },
-    links_are_cut = { Trouble { cuts: true, ..Trouble::default() } },
-    processes_freeze = { Trouble { pauses: true, ..Trouble::default() } },
+    calm = { Faults::default() },
+    processes_restart = { Faults { restarts: true, ..Faults::default() } },
+    links_are_cut = { Faults { disconnects: true, ..Faults::default() } },
+    processes_freeze = { Faults { pauses: true, ..Faults::default() } },
     all_at_once = {
-        Trouble { restarts: true, cuts: true, pauses: true, duplicates: true }
+        Faults {
+            restarts: true,
+            disconnects: true,
+            pauses: true,
+            duplicates: true,
+        }
     },
 )]
-fn settings_reach_everyone_and_never_revert(trouble: Trouble) {
+fn settings_reach_all_processes_and_never_revert(faults: Faults) {
     for seed in seed_range(12) {
         let mut world = World::new(seed);
-        world.duplicate_percent = if trouble.duplicates { 5 } else { 0 };
+        world.duplicate_percent = if faults.duplicates { 5 } else { 0 };
         let version = world.publish("first", 3, 0);
         world.add_entries(5);
         world.add_agents(6);
@@ -205,17 +237,18 @@
             if world.rng.random_range(0..4) == 0 {
                 revision = world.accept_settings(settings(version));
             }
-            disturb(&mut world, trouble);
+            inject_faults(&mut world, faults);
             world.run_for(100);
-            observe(&world, seed, &mut highest);
+            check_revisions(&world, seed, &mut highest);
         }
-        let everywhere = world
-            .run_until(10_000, |world| in_force_everywhere(world, revision));
-        assert!(everywhere, "seed {seed}: {}", world.describe());
+        let is_in_force = world.run_until(10_000, |world| {
+            is_in_force_everywhere(world, revision)
+        });
+        assert!(is_in_force, "seed {seed}: {}", world.describe());
     }
 }
 
-/// Without trouble an accepted change is in force everywhere within 2 s.
+/// Without faults an accepted change is in force everywhere within 2 s.
 #[test]
 fn a_change_is_in_force_everywhere_within_two_seconds() {
     for seed in seed_range(12) {
@@ -227,16 +260,16 @@
         world.run_for(3_000);
         for _ in 0..10 {
             let revision = world.accept_settings(settings(version));
-            let everywhere = world.run_until(2_000, |world| {
-                in_force_everywhere(world, revision)
+            let is_in_force = world.run_until(2_000, |world| {
+                is_in_force_everywhere(world, revision)
             });
-            assert!(everywhere, "seed {seed}: {}", world.describe());
+            assert!(is_in_force, "seed {seed}: {}", world.describe());
         }
     }
 }
 
-/// A process that starts while the platform is down learns the newest
-/// revision from its peers, and orders nothing by an older one.
+/// An agent that starts while the platform is down learns the newest revision
+/// from entry hosts and gives its target no orders based on an older one.
 #[test]
 fn a_restart_during_an_outage_does_not_bring_old_settings_back() {
     for seed in seed_range(20) {
@@ -248,7 +281,8 @@
         world.add_agents(6);
         world.accept_settings(settings_at(old, "m/old"));
         world.run_for(4_000);
-        // One entry host is cut off from all others and keeps the old ones.
+        // One entry host is cut off from all others and keeps the old
+        // settings.
         let lagging: Name = "entry-4".into();
         for other in world.names(false) {
             if other != lagging {
@@ -263,8 +297,8 @@
         });
         assert!(is_new, "seed {seed}: {}", world.describe());
         world.platform_is_down = true;
-        // The restarted agents reach the lagging one first, and the others
-        // only a moment later.
+        // The restarted agents reach only the lagging entry host at first,
+        // and the others 400 ms later.
         for name in world.names(true) {
             for entry in world.names(false) {
                 if entry != lagging {
@@ -285,24 +319,26 @@
     }
 }
 
-fn disturb(world: &mut World, trouble: Trouble) {
+/// Injects random faults of the enabled kinds at a random process.
+fn inject_faults(world: &mut World, faults: Faults) {
     let is_agent = world.rng.random_range(0..2) == 0;
     let names = world.names(is_agent);
     let name = names[world.rng.random_range(0..names.len())].clone();
-    if trouble.restarts && world.rng.random_range(0..6) == 0 {
+    if faults.restarts && world.rng.random_range(0..6) == 0 {
         world.restart(&name);
     }
-    if trouble.cuts && world.rng.random_range(0..3) == 0 {
+    if faults.disconnects && world.rng.random_range(0..3) == 0 {
         world.disconnect_all(&name);
     }
-    if trouble.pauses && world.rng.random_range(0..6) == 0 {
+    if faults.pauses && world.rng.random_range(0..6) == 0 {
         let ms = world.rng.random_range(50..4_000);
         world.pause(&name, ms);
     }
 }
 
-/// Within one life of a process its revision only grows.
-fn observe(
+/// Checks that the revision of a process never decreases within an
+/// incarnation.
+fn check_revisions(
     world: &World,
     seed: u64,
     highest: &mut BTreeMap<(Name, u64), u64>,
@@ -311,9 +347,12 @@
         let agent = world.agent(&name).map(|agent| agent.revision());
         let entry = world.entry(&name).map(|entry| entry.revision());
         let Some(revision) = agent.or(entry) else { continue };
-        let life = world.nodes[&name].identity.incarnation;
-        let known = highest.entry((name.clone(), life)).or_default();
-        assert!(revision >= *known, "seed {seed}: {name} went back");
+        let incarnation = world.nodes[&name].identity.incarnation;
+        let known = highest.entry((name.clone(), incarnation)).or_default();
+        assert!(
+            revision >= *known,
+            "seed {seed}: the revision of {name} decreased"
+        );
         *known = revision;
     }
 }
