--- a/crates/raildale-core/tests/spread_runs.rs
+++ b/crates/raildale-core/tests/spread_runs.rs
@@ -1,4 +1,7 @@
-//! Seeded randomised runs of spreads, under everything that fails.
+//! Seeded randomised simulations of spreads with injected faults.
+//!
+//! Targets must serve complete versions at all times, and every spread must
+//! complete.
 
 mod world;
 
@@ -10,19 +13,24 @@
 const HOSTS: usize = 9;
 const CHUNKS: usize = 40;
 
-/// What goes wrong during a spread.
+/// The faults injected during a spread.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
-    kills: bool,
-    cuts: bool,
+struct Faults {
+    /// Whether agents are killed. Most of them restart.
+    agent_kills: bool,
+    disconnects: bool,
     pauses: bool,
     corrupt_percent: u32,
-    replaced_midway: bool,
-    owner_dies: bool,
-    entries_all_die: bool,
+    /// Whether a third version is published before the spread has completed.
+    version_replaced: bool,
+    /// Whether a random entry host, possibly the owner of the tracker, is
+    /// killed.
+    entry_killed: bool,
+    all_entries_killed: bool,
 }
 
-fn start(seed: u64) -> World {
+/// Starts a simulation and waits until all targets serve the first version.
+fn start_served(seed: u64) -> World {
     let mut world = World::new(seed);
     let first = world.publish("first", CHUNKS, 5);
     world.add_entries(3);
@@ -31,82 +39,91 @@
     let served = world.run_until(60_000, |world| {
         world.targets.values().all(|target| target.active == Some(first))
     });
-    assert!(served, "seed {seed}: the first version did not arrive");
+    assert!(served, "seed {seed}: not all targets serve the first version");
     world
 }
 
-fn spread(seed: u64, trouble: Trouble) {
-    let mut world = start(seed);
-    world.corrupt_percent = trouble.corrupt_percent;
+/// Spreads a second version with faults and checks the invariants throughout.
+fn run_spread(seed: u64, faults: Faults) {
+    let mut world = start_served(seed);
+    world.corrupt_percent = faults.corrupt_percent;
     world.duplicate_percent = 2;
     let mut wanted = world.publish("second", CHUNKS, 5);
     world.accept_settings(settings(wanted));
     for step in 0..40 {
         world.run_for(50);
-        disturb(&mut world, trouble);
-        if trouble.replaced_midway && step == 8 {
+        inject_faults(&mut world, faults);
+        if faults.version_replaced && step == 8 {
             wanted = world.publish("third", CHUNKS, 5);
             world.accept_settings(settings(wanted));
         }
-        if trouble.owner_dies && step == 6 {
-            let name = random(&mut world, false);
+        if faults.entry_killed && step == 6 {
+            let name = random_name(&mut world, false);
             world.kill(&name);
         }
-        if trouble.entries_all_die && step == 15 {
+        if faults.all_entries_killed && step == 15 {
             for name in world.names(false) {
                 world.kill(&name);
             }
         }
-        check(&world, seed);
+        check_invariants(&world, seed);
     }
-    let arrived = world.run_until(120_000, |world| {
-        check(world, seed);
+    let is_complete = world.run_until(120_000, |world| {
+        check_invariants(world, seed);
         world.names(true).iter().all(|name| {
             !world.is_alive(name) || world.targets[name].active == Some(wanted)
         })
     });
-    if !arrived {
+    if !is_complete {
         println!("{}", world.describe());
     }
-    assert!(arrived, "seed {seed}: the burst did not end under {trouble:?}");
+    assert!(
+        is_complete,
+        "seed {seed}: the spread did not complete with {faults:?}"
+    );
 }
 
-fn disturb(world: &mut World, trouble: Trouble) {
-    if trouble.kills && world.rng.random_range(0..20) == 0 {
-        let name = random(world, true);
-        // Some hosts stay dead; most are replaced.
+/// Injects random faults of the enabled kinds.
+fn inject_faults(world: &mut World, faults: Faults) {
+    if faults.agent_kills && world.rng.random_range(0..20) == 0 {
+        let name = random_name(world, true);
+        // A quarter of the killed agents stay dead while more than half of all
+        // agents are alive. The others restart.
         match world.rng.random_range(0..4) {
-            0 if alive(world) > HOSTS / 2 => world.kill(&name),
+            0 if count_alive(world) > HOSTS / 2 => world.kill(&name),
             _ => world.restart(&name),
         }
     }
-    if trouble.cuts && world.rng.random_range(0..3) == 0 {
-        let name = random(world, true);
+    if faults.disconnects && world.rng.random_range(0..3) == 0 {
+        let name = random_name(world, true);
         world.disconnect_all(&name);
     }
-    if trouble.pauses && world.rng.random_range(0..15) == 0 {
-        let name = random(world, true);
+    if faults.pauses && world.rng.random_range(0..15) == 0 {
+        let name = random_name(world, true);
         let ms = world.rng.random_range(100..4_000);
         world.pause(&name, ms);
     }
 }
 
-fn random(world: &mut World, is_agent: bool) -> Name {
+/// Returns the name of a random agent or entry host.
+fn random_name(world: &mut World, is_agent: bool) -> Name {
     let names = world.names(is_agent);
-    let place = world.rng.random_range(0..names.len());
-    names[place].clone()
+    let index = world.rng.random_range(0..names.len());
+    names[index].clone()
 }
 
-fn alive(world: &World) -> usize {
+/// Returns the number of agents that are alive.
+fn count_alive(world: &World) -> usize {
     world.names(true).iter().filter(|name| world.is_alive(name)).count()
 }
 
-/// What must hold at every moment, by the targets' own record.
-fn check(world: &World, seed: u64) {
+/// Checks that all targets serve complete versions, if any, and that no agent
+/// exceeds its two upload slots.
+fn check_invariants(world: &World, seed: u64) {
     for name in world.names(true) {
         assert!(
             world.serves_whole_version(&name),
-            "seed {seed}: {name} serves weights that are not whole"
+            "seed {seed}: {name} serves an incomplete version"
         );
         if let Some(agent) = world.agent(&name) {
             assert!(agent.uploads_active() <= 2, "seed {seed}: {name}");
@@ -115,44 +132,45 @@
 }
 
 #[parameterized(
-    calm = { Trouble::default() },
-    hosts_are_killed = { Trouble { kills: true, ..Trouble::default() } },
-    links_are_cut = { Trouble { cuts: true, ..Trouble::default() } },
-    processes_freeze = { Trouble { pauses: true, ..Trouble::default() } },
+    calm = { Faults::default() },
+    hosts_are_killed = { Faults { agent_kills: true, ..Faults::default() } },
+    links_are_cut = { Faults { disconnects: true, ..Faults::default() } },
+    processes_freeze = { Faults { pauses: true, ..Faults::default() } },
     chunks_are_corrupted = {
-        Trouble { corrupt_percent: 5, ..Trouble::default() }
+        Faults { corrupt_percent: 5, ..Faults::default() }
     },
     the_version_is_replaced = {
-        Trouble { replaced_midway: true, ..Trouble::default() }
+        Faults { version_replaced: true, ..Faults::default() }
     },
-    the_owner_dies = { Trouble { owner_dies: true, ..Trouble::default() } },
+    the_owner_dies = { Faults { entry_killed: true, ..Faults::default() } },
     all_entry_hosts_die = {
-        Trouble { entries_all_die: true, ..Trouble::default() }
+        Faults { all_entries_killed: true, ..Faults::default() }
     },
     all_at_once = {
-        Trouble {
-            kills: true,
-            cuts: true,
+        Faults {
+            agent_kills: true,
+            disconnects: true,
             pauses: true,
             corrupt_percent: 3,
-            replaced_midway: true,
-            owner_dies: true,
-            entries_all_die: false,
+            version_replaced: true,
+            entry_killed: true,
+            all_entries_killed: false,
         }
     },
 )]
-fn every_spread_ends_whole(trouble: Trouble) {
+fn every_spread_completes(faults: Faults) {
     for seed in seed_range(12) {
         println!("seed {seed}");
-        spread(seed, trouble);
+        run_spread(seed, faults);
     }
 }
 
-/// Each chunk leaves the origin once, and what two versions share not again.
+/// Chunks are fetched from the origin once, and those shared with the previous
+/// version are not fetched again, apart from a few at the start.
 #[test]
 fn a_calm_spread_takes_one_copy_from_the_origin() {
     for seed in seed_range(12) {
-        let mut world = start(seed);
+        let mut world = start_served(seed);
         world.origin_fetches = 0;
         let second = world.publish("second", CHUNKS, 5);
         world.accept_settings(settings(second));
@@ -160,23 +178,23 @@
             world.targets.values().all(|target| target.active == Some(second))
         });
         assert!(served, "seed {seed}");
-        // The first grants go out with the manifest, before any agent can
-        // say which chunks it keeps from the version before: one grant for
-        // each of the four origin slots may be for such a chunk.
-        let most = (CHUNKS - 5 + 4) as u64;
+        // The first grants are sent with the manifest, before agents can
+        // report which chunks they keep from the previous version. One grant
+        // for each of the four origin slots may be for such a chunk.
+        let max_fetches = (CHUNKS - 5 + 4) as u64;
         assert!(
-            world.origin_fetches <= most,
-            "seed {seed}: {} chunks left the origin",
+            world.origin_fetches <= max_fetches,
+            "seed {seed}: {} chunks were fetched from the origin",
             world.origin_fetches
         );
     }
 }
 
-/// A host that comes late is served by its peers.
+/// A host that joins late gets all chunks from its peers.
 #[test]
-fn a_late_joiner_costs_the_origin_nothing() {
+fn a_late_joiner_fetches_nothing_from_the_origin() {
     for seed in seed_range(8) {
-        let mut world = start(seed);
+        let mut world = start_served(seed);
         let name: Name = "host-4".into();
         world.replace_target(&name);
         world.restart(&name);
@@ -189,11 +207,11 @@
     }
 }
 
-/// A target that lost its weights is brought back without the origin.
+/// A target that lost its weights is filled again without the origin.
 #[test]
 fn a_target_that_restarts_is_staged_again() {
     for seed in seed_range(4) {
-        let mut world = start(seed);
+        let mut world = start_served(seed);
         let name: Name = "host-3".into();
         let first = world.targets[&name].active;
         world.replace_target(&name);
@@ -206,11 +224,11 @@
     }
 }
 
-/// Back to the version before, without the origin where chunks are kept.
+/// A rollback completes, and targets serve only complete versions meanwhile.
 #[test]
-fn rolling_back_serves_the_earlier_version_whole() {
+fn a_rollback_serves_the_complete_earlier_version() {
     for seed in seed_range(4) {
-        let mut world = start(seed);
+        let mut world = start_served(seed);
         let first = world.targets[&Name::from("host-0")].active.expect("set");
         let second = world.publish("second", CHUNKS, 0);
         world.accept_settings(settings(second));
@@ -219,17 +237,17 @@
         world.publish("first", CHUNKS, 5);
         world.accept_settings(settings(first));
         let served = world.run_until(60_000, |world| {
-            check(world, seed);
+            check_invariants(world, seed);
             world.targets.values().all(|target| target.active == Some(first))
         });
         assert!(served, "seed {seed}");
     }
 }
 
-/// An agent that is told to leave goes once its uploads have ended.
+/// An agent that is told to leave stops once its uploads have ended.
 #[test]
 fn a_leaving_agent_stops() {
-    let mut world = start(1);
+    let mut world = start_served(1);
     let name: Name = "host-2".into();
     world.submit_agent_event(&name, agent::Event::Leave);
     let stopped =
