--- a/crates/raildale-core/tests/request_runs.rs
+++ b/crates/raildale-core/tests/request_runs.rs
@@ -484,8 +484,8 @@
     }
 }
 
-/// Revoking the key of a run stops the run, which frees the target, and the key
-/// does not run again.
+/// Revoking the key of a run stops the run, which frees the target, and the
+/// key does not run again.
 #[test]
 fn a_run_is_stopped_by_revoking_its_key() {
     for seed in seed_range(8) {
