--- a/crates/raildale-testkit/src/load/bound.rs
+++ b/crates/raildale-testkit/src/load/bound.rs
@@ -7,7 +7,7 @@
 //! lie inside one another, so taking the dearest requests by credit for each
 //! millisecond first is the best that these bounds allow.
 
-use super::{engine, pattern::Pattern, sample::Asked};
+use super::{engine, pattern::Pattern, sample::CallerRequest};
 
 /// The shortest window, in milliseconds.
 const WINDOW_MS: f64 = 1_000.0;
@@ -16,8 +16,9 @@
 const TAIL_MS: f64 = 1_500.0;
 
 /// The share of the credit owed that no policy exceeds.
-pub fn credit_bound(pattern: &Pattern, requests: &[Asked]) -> f64 {
-    let is_counted = |asked: &&Asked| asked.at_ms >= pattern.warm_up_s * 1e3;
+pub fn credit_bound(pattern: &Pattern, requests: &[CallerRequest]) -> f64 {
+    let is_counted =
+        |asked: &&CallerRequest| asked.at_ms >= pattern.warm_up_s * 1e3;
     let mut jobs: Vec<Job> = requests
         .iter()
         .filter(is_counted)
@@ -40,7 +41,7 @@
 }
 
 impl Job {
-    fn new(pattern: &Pattern, asked: &Asked) -> Job {
+    fn new(pattern: &Pattern, asked: &CallerRequest) -> Job {
         let prompt = asked.prompt_tokens;
         Job {
             at_ms: asked.at_ms,
--- a/crates/raildale-testkit/src/load/result.rs
+++ b/crates/raildale-testkit/src/load/result.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{pattern::Pattern, sample::Asked};
+use super::{pattern::Pattern, sample::CallerRequest};
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Played {
     /// What was asked for.
-    pub asked: Asked,
+    pub asked: CallerRequest,
     /// From its caller's first try to the first event, in milliseconds.
     pub first_event_ms: Option<f64>,
     /// The longest pause between two events, in milliseconds.
@@ -95,18 +95,19 @@
         let from_ms = pattern.warm_up_s * 1e3;
         let counted: Vec<&Played> =
             played.iter().filter(|one| one.asked.at_ms >= from_ms).collect();
-        let grouped = |count: usize,
-                       name: &dyn Fn(usize) -> String,
-                       key: &dyn Fn(&Asked) -> usize| {
-            let group = |place: usize| {
-                let of = counted
-                    .iter()
-                    .filter(|one| key(&one.asked) == place)
-                    .copied();
-                share(pattern, name(place), of)
+        let grouped =
+            |count: usize,
+             name: &dyn Fn(usize) -> String,
+             key: &dyn Fn(&CallerRequest) -> usize| {
+                let group = |place: usize| {
+                    let of = counted
+                        .iter()
+                        .filter(|one| key(&one.asked) == place)
+                        .copied();
+                    share(pattern, name(place), of)
+                };
+                (0..count).map(group).collect::<Vec<Share>>()
             };
-            (0..count).map(group).collect::<Vec<Share>>()
-        };
         let organisations = pattern.organisation_shares.len().max(1);
         LoadResult {
             pattern: pattern.name.clone(),
--- a/crates/raildale-testkit/src/load/sample.rs
+++ b/crates/raildale-testkit/src/load/sample.rs
@@ -6,7 +6,7 @@
 
 /// One request, over all tries of its caller.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct CallerRequest {
     /// When it first arrives, in milliseconds.
     pub at_ms: f64,
     /// The place of its route among the pattern's.
@@ -26,7 +26,7 @@
 }
 
 /// Everything that is asked for in a pattern, by time.
-pub fn requests(pattern: &Pattern, seed: u64) -> Vec<Asked> {
+pub fn requests(pattern: &Pattern, seed: u64) -> Vec<CallerRequest> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut at_ms = 0.0;
     let mut asked = Vec::new();
@@ -40,7 +40,11 @@
     }
 }
 
-fn request(pattern: &Pattern, rng: &mut SmallRng, at_ms: f64) -> Asked {
+fn request(
+    pattern: &Pattern,
+    rng: &mut SmallRng,
+    at_ms: f64,
+) -> CallerRequest {
     let shares: Vec<f64> = pattern.routes.iter().map(|r| r.share).collect();
     let route = drawn_place(rng, &shares);
     let spec: &RoutePattern = &pattern.routes[route];
@@ -48,7 +52,7 @@
     let is_repeater = rng.random::<f64>() < repeaters.share;
     let centres =
         equal_if_empty(&pattern.fleet.caller_shares, pattern.data_centres());
-    Asked {
+    CallerRequest {
         at_ms,
         route,
         organisation: drawn_place(
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -24,7 +24,7 @@
     engine::{Engine, Work},
     pattern::{Pattern, StoreRestore},
     result::{Ending, Played},
-    sample::Asked,
+    sample::CallerRequest,
 };
 
 /// Virtual time at the start, in milliseconds: clocks do not begin at 0.
@@ -92,7 +92,7 @@
 /// A caller's request, over all its tries.
 #[derive(Debug)]
 struct Call {
-    asked: Asked,
+    asked: CallerRequest,
     retries_left: u32,
     tries: u32,
     host: usize,
@@ -153,7 +153,7 @@
     /// A fleet that is asked for `requests`.
     pub fn new(
         pattern: &'a Pattern,
-        requests: Vec<Asked>,
+        requests: Vec<CallerRequest>,
         seed: u64,
     ) -> World<'a> {
         let fleet = &pattern.fleet;
@@ -595,7 +595,7 @@
 const LAST_S: f64 = 10.0;
 
 impl Call {
-    fn new(asked: Asked) -> Call {
+    fn new(asked: CallerRequest) -> Call {
         Call {
             retries_left: asked.retries,
             asked,
