--- a/crates/raildale-testkit/src/load/result.rs
+++ b/crates/raildale-testkit/src/load/result.rs
@@ -24,7 +24,7 @@
 
 /// One request that was played.
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct RequestResult {
     /// What was asked for.
     pub asked: CallerRequest,
     /// From its caller's first try to the first event, in milliseconds.
@@ -89,11 +89,11 @@
     pub fn new(
         pattern: &Pattern,
         seed: u64,
-        played: Vec<Played>,
+        played: Vec<RequestResult>,
         bound: f64,
     ) -> LoadResult {
         let from_ms = pattern.warm_up_s * 1e3;
-        let counted: Vec<&Played> =
+        let counted: Vec<&RequestResult> =
             played.iter().filter(|one| one.asked.at_ms >= from_ms).collect();
         let grouped =
             |count: usize,
@@ -211,7 +211,7 @@
 fn share<'a>(
     pattern: &Pattern,
     name: String,
-    played: impl Iterator<Item = &'a Played>,
+    played: impl Iterator<Item = &'a RequestResult>,
 ) -> Share {
     let mut share = Share { name, ..Share::default() };
     let mut owed = 0.0;
@@ -237,7 +237,7 @@
     share
 }
 
-fn mark(pattern: &Pattern, one: &Played) -> Mark {
+fn mark(pattern: &Pattern, one: &RequestResult) -> Mark {
     let route = &pattern.routes[one.asked.route];
     let is_first_in_time =
         one.first_event_ms.is_some_and(|ms| ms <= route.goal_ms as f64);
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -23,7 +23,7 @@
 use super::{
     engine::{Engine, Work},
     pattern::{Pattern, StoreRestore},
-    result::{Ending, Played},
+    result::{Ending, RequestResult},
     sample::CallerRequest,
 };
 
@@ -187,7 +187,7 @@
     }
 
     /// Plays until every request has ended.
-    pub fn run(mut self) -> Vec<Played> {
+    pub fn run(mut self) -> Vec<RequestResult> {
         self.plan();
         let end_ms = (self.pattern.length_s + LAST_S) * 1e3;
         while let Some(Reverse((at_us, _, place))) = self.queue.pop() {
@@ -632,9 +632,9 @@
         self.last_event_ms = at_ms;
     }
 
-    fn played(self, pattern: &Pattern) -> Played {
+    fn played(self, pattern: &Pattern) -> RequestResult {
         let asked_ms = self.asked.at_ms - pattern.fleet.caller_way_ms;
-        Played {
+        RequestResult {
             first_event_ms: self.first_event_ms.map(|at| at - asked_ms),
             longest_pause_ms: self.longest_pause_ms,
             ending: self.ending.unwrap_or(Ending::CallerLeft),
