--- a/crates/raildale-testkit/src/load/page.rs
+++ b/crates/raildale-testkit/src/load/page.rs
@@ -2,7 +2,7 @@
 
 use plotters::prelude::*;
 
-use super::result::{LoadResult, Share};
+use super::result::{GroupStats, LoadResult};
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (760, 260);
@@ -38,7 +38,7 @@
     )
 }
 
-fn row(share: &Share) -> String {
+fn row(share: &GroupStats) -> String {
     format!(
         "<tr><th>{}</th><td>{}</td><td>{}</td><td>{}</td><td>{}</td>\
          <td>{}</td><td>{:.3}</td></tr>",
@@ -63,7 +63,7 @@
     DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
 /// What a line of a plot shows of a second.
-type Count = fn(&Share) -> u32;
+type Count = fn(&GroupStats) -> u32;
 
 fn draw<'a>(
     result: &LoadResult,
--- a/crates/raildale-testkit/src/load/result.rs
+++ b/crates/raildale-testkit/src/load/result.rs
@@ -46,7 +46,7 @@
 
 /// What a group of requests got.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Share {
+pub struct GroupStats {
     /// What the group is called.
     pub name: String,
     /// Requests.
@@ -73,15 +73,15 @@
     /// The share of the credit owed that no policy exceeds.
     pub bound: f64,
     /// Everything.
-    pub all: Share,
+    pub all: GroupStats,
     /// By route.
-    pub routes: Vec<Share>,
+    pub routes: Vec<GroupStats>,
     /// By organisation.
-    pub organisations: Vec<Share>,
+    pub organisations: Vec<GroupStats>,
     /// By data centre.
-    pub data_centres: Vec<Share>,
+    pub data_centres: Vec<GroupStats>,
     /// By second of the first try.
-    pub seconds: Vec<Share>,
+    pub seconds: Vec<GroupStats>,
 }
 
 impl LoadResult {
@@ -106,7 +106,7 @@
                         .copied();
                     share(pattern, name(place), of)
                 };
-                (0..count).map(group).collect::<Vec<Share>>()
+                (0..count).map(group).collect::<Vec<GroupStats>>()
             };
         let organisations = pattern.organisation_shares.len().max(1);
         LoadResult {
@@ -138,7 +138,7 @@
     }
 
     /// Every group but the seconds, the whole first.
-    pub fn groups(&self) -> impl Iterator<Item = &Share> {
+    pub fn groups(&self) -> impl Iterator<Item = &GroupStats> {
         std::iter::once(&self.all)
             .chain(&self.routes)
             .chain(&self.organisations)
@@ -146,7 +146,7 @@
     }
 
     /// Every group, the seconds last.
-    pub fn shares(&self) -> impl Iterator<Item = &Share> {
+    pub fn shares(&self) -> impl Iterator<Item = &GroupStats> {
         self.groups().chain(&self.seconds)
     }
 
@@ -161,8 +161,15 @@
             "group,asked,in_time,late,refused,lost,credit,bound\n",
         );
         for share in self.shares() {
-            let Share { name, asked, in_time, late, refused, lost, credit } =
-                share;
+            let GroupStats {
+                name,
+                asked,
+                in_time,
+                late,
+                refused,
+                lost,
+                credit,
+            } = share;
             let bound = self.bound;
             // Writing to a string does not fail.
             let _ = writeln!(
@@ -212,8 +219,8 @@
     pattern: &Pattern,
     name: String,
     played: impl Iterator<Item = &'a RequestResult>,
-) -> Share {
-    let mut share = Share { name, ..Share::default() };
+) -> GroupStats {
+    let mut share = GroupStats { name, ..GroupStats::default() };
     let mut owed = 0.0;
     let mut earned = 0.0;
     for one in played {
--- a/crates/raildale-testkit/tests/load.rs
+++ b/crates/raildale-testkit/tests/load.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use raildale_testkit::load::{self, LoadResult, Pattern, result::Share};
+use raildale_testkit::load::{self, LoadResult, Pattern, result::GroupStats};
 use yare::parameterized;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
@@ -132,7 +132,7 @@
     results: &[LoadResult],
     seconds: std::ops::Range<usize>,
 ) -> f64 {
-    let of = |count: fn(&Share) -> u32| {
+    let of = |count: fn(&GroupStats) -> u32| {
         let seconds = results.iter().flat_map(|r| &r.seconds[seconds.clone()]);
         f64::from(seconds.map(count).sum::<u32>())
     };
