--- a/crates/raildale-testkit/src/load/engine.rs
+++ b/crates/raildale-testkit/src/load/engine.rs
@@ -8,7 +8,7 @@
 
 /// A request in the engine.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct EngineRequest {
     /// Names the attempt.
     pub attempt: usize,
     /// Prompt tokens still to read.
@@ -32,8 +32,8 @@
 #[derive(Debug)]
 pub struct Engine {
     spec: EnginePattern,
-    running: Vec<Work>,
-    waiting: Vec<Work>,
+    running: Vec<EngineRequest>,
+    waiting: Vec<EngineRequest>,
     is_busy: bool,
 }
 
@@ -54,7 +54,7 @@
     }
 
     /// Takes a request in; false if there is no room for it.
-    pub fn take(&mut self, work: Work) -> bool {
+    pub fn take(&mut self, work: EngineRequest) -> bool {
         if self.waiting.len() >= self.spec.queue {
             return false;
         }
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -21,7 +21,7 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 
 use super::{
-    engine::{Engine, Work},
+    engine::{Engine, EngineRequest},
     pattern::{Pattern, StoreRestore},
     result::{Ending, RequestResult},
     sample::CallerRequest,
@@ -466,7 +466,7 @@
         let urgency = call.urgency;
         let got = call.events_got;
         let stride = f64::from(self.pattern.engine.stride);
-        let work = Work {
+        let work = EngineRequest {
             attempt,
             unread_tokens: call.asked.prompt_tokens + f64::from(got) * stride,
             events_left: call.asked.events.saturating_sub(got).max(1),
