--- a/crates/raildale-testkit/src/load/engine.rs
+++ b/crates/raildale-testkit/src/load/engine.rs
@@ -21,7 +21,7 @@
 
 /// What a pass brought to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Written {
+pub struct PassOutput {
     /// The attempt.
     pub attempt: usize,
     /// Whether that was its last event.
@@ -113,14 +113,14 @@
     }
 
     /// Ends the pass under way.
-    pub fn end(&mut self) -> Vec<Written> {
+    pub fn end(&mut self) -> Vec<PassOutput> {
         self.is_busy = false;
         let mut written = Vec::new();
         for work in &mut self.running {
             if work.unread_tokens <= 0.0 {
                 work.events_left = work.events_left.saturating_sub(1);
                 let is_last = work.events_left == 0;
-                written.push(Written { attempt: work.attempt, is_last });
+                written.push(PassOutput { attempt: work.attempt, is_last });
             }
         }
         self.running.retain(|work| work.events_left > 0);
