--- a/crates/raildale-testkit/src/bin/raildale-bench.rs
+++ b/crates/raildale-testkit/src/bin/raildale-bench.rs
@@ -243,7 +243,7 @@
     let pattern = Pattern::read(&args.file)?;
     let seeds = 1..=args.seeds.max(1);
     let results: Vec<LoadResult> =
-        seeds.map(|seed| load::play(&pattern, seed)).collect();
+        seeds.map(|seed| load::simulate(&pattern, seed)).collect();
     for result in &results {
         println!("{result}");
     }
--- a/crates/raildale-testkit/src/load/mod.rs
+++ b/crates/raildale-testkit/src/load/mod.rs
@@ -26,7 +26,7 @@
 pub use self::{pattern::Pattern, result::LoadResult};
 
 /// Plays a pattern once.
-pub fn play(pattern: &Pattern, seed: u64) -> LoadResult {
+pub fn simulate(pattern: &Pattern, seed: u64) -> LoadResult {
     let requests = sample::requests(pattern, seed);
     let bound = bound::credit_bound(pattern, &requests);
     let played = world::World::new(pattern, requests, seed).run();
--- a/crates/raildale-testkit/tests/load.rs
+++ b/crates/raildale-testkit/tests/load.rs
@@ -16,7 +16,7 @@
 
 fn played(file: &str) -> Vec<LoadResult> {
     let pattern = pattern(file);
-    SEEDS.map(|seed| load::play(&pattern, seed)).collect()
+    SEEDS.map(|seed| load::simulate(&pattern, seed)).collect()
 }
 
 /// What all seeds of a pattern come to: shares of the requests answered in
@@ -91,8 +91,8 @@
     let restored = pattern("restores.toml");
     let calm = Pattern { restores: Vec::new(), ..restored.clone() };
     for seed in SEEDS {
-        let restored = load::play(&restored, seed).all;
-        let calm = load::play(&calm, seed).all;
+        let restored = load::simulate(&restored, seed).all;
+        let calm = load::simulate(&calm, seed).all;
         assert_eq!(restored.in_time, calm.in_time, "seed {seed}");
         assert_eq!(restored.late, calm.late, "seed {seed}");
     }
