--- a/crates/raildale-testkit/src/load/pattern.rs
+++ b/crates/raildale-testkit/src/load/pattern.rs
@@ -189,7 +189,7 @@
     }
 
     /// Data centres of the fleet.
-    pub fn data_centres(&self) -> usize {
+    pub fn data_centre_count(&self) -> usize {
         self.fleet.targets.len()
     }
 
--- a/crates/raildale-testkit/src/load/result.rs
+++ b/crates/raildale-testkit/src/load/result.rs
@@ -125,7 +125,7 @@
                 &|asked| asked.organisation,
             ),
             data_centres: grouped(
-                pattern.data_centres(),
+                pattern.data_centre_count(),
                 &|place| format!("data centre {place}"),
                 &|asked| asked.data_centre,
             ),
--- a/crates/raildale-testkit/src/load/sample.rs
+++ b/crates/raildale-testkit/src/load/sample.rs
@@ -50,8 +50,10 @@
     let spec: &RoutePattern = &pattern.routes[route];
     let repeaters = pattern.repeaters;
     let is_repeater = rng.random::<f64>() < repeaters.share;
-    let centres =
-        equal_if_empty(&pattern.fleet.caller_shares, pattern.data_centres());
+    let centres = equal_if_empty(
+        &pattern.fleet.caller_shares,
+        pattern.data_centre_count(),
+    );
     CallerRequest {
         at_ms,
         route,
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -217,7 +217,7 @@
             self.schedule_at(offset_ms, Event::Heartbeats(host));
         }
         if let Some(every_ms) = self.pattern.fleet.digest_every_ms {
-            for centre in 0..self.pattern.data_centres() {
+            for centre in 0..self.pattern.data_centre_count() {
                 let offset_ms = self.rng.random::<f64>() * every_ms;
                 self.schedule_at(offset_ms, Event::Digest(centre));
             }
@@ -244,7 +244,7 @@
 
     /// The targets that go, in turn.
     fn absent(&self, count: usize, data_centre: Option<usize>) -> Vec<usize> {
-        let mut seen = vec![0; self.pattern.data_centres()];
+        let mut seen = vec![0; self.pattern.data_centre_count()];
         let mut order: Vec<(usize, usize)> = Vec::new();
         for (place, target) in self.targets.iter().enumerate() {
             let centre = target.data_centre;
