--- a/crates/raildale-testkit/src/load/pattern.rs
+++ b/crates/raildale-testkit/src/load/pattern.rs
@@ -168,7 +168,7 @@
 #[derive(Debug, displaydoc::Display)]
 pub enum PatternError {
     /// 1401 the file cannot be read: {0}
-    Unread(std::io::Error),
+    Unreadable(std::io::Error),
     /// 1402 the file is no load pattern: {0}
     Malformed(toml::de::Error),
     /// 1403 {0}
@@ -185,7 +185,7 @@
     /// A [`PatternError`].
     pub fn read(path: &Path) -> Result<Pattern, PatternError> {
         let text = std::fs::read_to_string(path);
-        text.map_err(PatternError::Unread)?.parse()
+        text.map_err(PatternError::Unreadable)?.parse()
     }
 
     /// Data centres of the fleet.
