--- a/crates/raildale-testkit/src/load/pattern.rs
+++ b/crates/raildale-testkit/src/load/pattern.rs
@@ -172,7 +172,7 @@
     /// 1402 the file is no load pattern: {0}
     Malformed(toml::de::Error),
     /// 1403 {0}
-    Impossible(&'static str),
+    Invalid(&'static str),
 }
 
 impl std::error::Error for PatternError {}
@@ -225,7 +225,7 @@
             (self.length_s <= LENGTH_MOST_S, "length_s is over 600"),
         ];
         match checks.iter().find(|(holds, _)| !holds) {
-            Some((_, reason)) => Err(PatternError::Impossible(reason)),
+            Some((_, reason)) => Err(PatternError::Invalid(reason)),
             None => Ok(()),
         }
     }
