--- a/crates/raildale-testkit/src/load/engine.rs
+++ b/crates/raildale-testkit/src/load/engine.rs
@@ -54,7 +54,7 @@
     }
 
     /// Takes a request in; false if there is no room for it.
-    pub fn take(&mut self, work: EngineRequest) -> bool {
+    pub fn enqueue(&mut self, work: EngineRequest) -> bool {
         if self.waiting.len() >= self.spec.queue {
             return false;
         }
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -473,7 +473,7 @@
             urgency,
         };
         let host = &mut self.targets[target];
-        if !host.is_up || !host.engine.take(work) {
+        if !host.is_up || !host.engine.enqueue(work) {
             let back_ms = self.way_ms(self.attempts[attempt].call, target);
             self.schedule(back_ms, Event::Fail(attempt, Outcome::Refused));
             return;
