--- a/crates/raildale-testkit/src/load/engine.rs
+++ b/crates/raildale-testkit/src/load/engine.rs
@@ -65,7 +65,7 @@
     }
 
     /// Takes a request out, whatever became of it.
-    pub fn withdraw(&mut self, attempt: usize) {
+    pub fn remove(&mut self, attempt: usize) {
         self.running.retain(|work| work.attempt != attempt);
         self.waiting.retain(|work| work.attempt != attempt);
     }
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -580,7 +580,7 @@
         }
         if let Some(attempt) = call.attempt {
             let target = self.attempts[attempt].target;
-            self.targets[target].engine.withdraw(attempt);
+            self.targets[target].engine.remove(attempt);
             self.over(attempt, Outcome::Withdrawn);
         }
         let call = &mut self.calls[place];
