--- a/crates/raildale-testkit/src/load/engine.rs
+++ b/crates/raildale-testkit/src/load/engine.rs
@@ -78,7 +78,7 @@
 
     /// Begins a pass if none is under way and there is work; returns its
     /// milliseconds.
-    pub fn begin(&mut self) -> Option<f64> {
+    pub fn begin_pass(&mut self) -> Option<f64> {
         if self.is_busy {
             return None;
         }
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -484,7 +484,7 @@
     fn begin_pass(&mut self, target: usize) {
         let host = &mut self.targets[target];
         let life = host.life;
-        if let Some(ms) = host.engine.begin() {
+        if let Some(ms) = host.engine.begin_pass() {
             self.schedule(ms, Event::PassEnd(target, life));
         }
     }
