--- a/crates/raildale-testkit/src/load/engine.rs
+++ b/crates/raildale-testkit/src/load/engine.rs
@@ -113,7 +113,7 @@
     }
 
     /// Ends the pass under way.
-    pub fn end(&mut self) -> Vec<PassOutput> {
+    pub fn end_pass(&mut self) -> Vec<PassOutput> {
         self.is_busy = false;
         let mut written = Vec::new();
         for work in &mut self.running {
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -493,7 +493,7 @@
         if self.targets[target].life != life {
             return;
         }
-        for written in self.targets[target].engine.end() {
+        for written in self.targets[target].engine.end_pass() {
             let attempt = written.attempt;
             let way_ms = self.way_ms(self.attempts[attempt].call, target);
             let is_last = written.is_last;
