--- a/crates/raildale-testkit/src/load/mod.rs
+++ b/crates/raildale-testkit/src/load/mod.rs
@@ -1,18 +1,18 @@
-//! A model of load on a fleet, in virtual time.
+//! A discrete-event simulation of load on a fleet, in virtual time.
 //!
-//! The decisions are the product's own: every entry host of the model is a
-//! [`raildale_core::gateway::Gateway`]. Engines, callers, the links and the
-//! agents' reports are simulated, so that a run of half a minute takes less
-//! than a second and is the same each time.
+//! Every entry host of the simulation is a real
+//! [`raildale_core::gateway::Gateway`], which makes the routing decisions.
+//! Engines, callers, links and the agents' reports are simulated, so a run of
+//! half a minute takes less than a second and is deterministic.
 //!
-//! * [`pattern`]: what is played, read from a TOML file.
-//! * [`engine`]: a model engine that works in passes over a batch.
-//! * [`sample`]: what callers ask for, drawn from a seed.
-//! * [`world`]: callers, entry hosts and targets together.
-//! * `reports`: what entry hosts hear, and when.
-//! * [`bound`]: what no policy can exceed.
-//! * [`result`]: what callers got, with its tables.
-//! * [`page`]: a result as a page with plots.
+//! * [`pattern`]: the load pattern, read from a TOML file.
+//! * [`engine`]: a simulated engine that processes a batch in passes.
+//! * [`sample`]: the callers' requests, drawn from a seed.
+//! * [`world`]: the simulation of callers, entry hosts and targets.
+//! * `reports`: reports, digests and heartbeats sent to entry hosts.
+//! * [`bound`]: an upper bound on the credit that any policy can earn.
+//! * [`result`]: the results of a run and their tables.
+//! * [`page`]: results as an HTML page with plots.
 
 pub mod bound;
 pub mod engine;
@@ -25,10 +25,10 @@
 
 pub use self::{pattern::Pattern, result::LoadResult};
 
-/// Plays a pattern once.
+/// Runs a load pattern once. The result depends only on `pattern` and `seed`.
 pub fn simulate(pattern: &Pattern, seed: u64) -> LoadResult {
     let requests = sample::requests(pattern, seed);
     let bound = bound::credit_bound(pattern, &requests);
-    let played = world::World::new(pattern, requests, seed).run();
-    LoadResult::new(pattern, seed, played, bound)
+    let results = world::World::new(pattern, requests, seed).run();
+    LoadResult::new(pattern, seed, results, bound)
 }
