--- a/crates/raildale-testkit/src/load/page.rs
+++ b/crates/raildale-testkit/src/load/page.rs
@@ -1,4 +1,4 @@
-//! A result as a page with plots, and two of them side by side.
+//! An HTML page with tables and plots of one or more results, side by side.
 
 use plotters::prelude::*;
 
@@ -7,22 +7,22 @@
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (760, 260);
 
-/// Width of a line in a plot's legend, in pixels.
+/// Length of a line sample in a plot's legend, in pixels.
 const LEGEND_WIDTH: i32 = 16;
 
-/// A page of one result, or of two to compare.
+/// Returns an HTML page with one section for each result.
 pub fn page(results: &[LoadResult]) -> String {
-    let parts: Vec<String> = results.iter().map(part).collect();
+    let sections: Vec<String> = results.iter().map(section).collect();
     format!(
         "<!doctype html><meta charset=\"utf-8\"><title>Load</title>\
          <style>body{{font-family:sans-serif}}td,th{{padding:0 .6em;\
          text-align:right}}section{{display:inline-block;\
          vertical-align:top;margin-right:2em}}</style>{}",
-        parts.concat()
+        sections.concat()
     )
 }
 
-fn part(result: &LoadResult) -> String {
+fn section(result: &LoadResult) -> String {
     let rows: Vec<String> = result.groups().map(row).collect();
     let plot = plot(result).unwrap_or_else(|error| escaped(&error));
     format!(
@@ -52,7 +52,8 @@
     )
 }
 
-/// Requests by second: answered in time, late as well, and all.
+/// Returns an SVG plot of requests by second: all of them, those answered, and
+/// those answered in time.
 fn plot(result: &LoadResult) -> Result<String, String> {
     let mut text = String::new();
     draw(result, &mut text).map_err(|error| error.to_string())?;
@@ -62,7 +63,7 @@
 type PlotError<'a> =
     DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
-/// What a line of a plot shows of a second.
+/// The count that a line of the plot shows for each second.
 type Count = fn(&GroupStats) -> u32;
 
 fn draw<'a>(
@@ -74,14 +75,14 @@
         ("answered", BLUE, |share| share.in_time + share.late),
         ("in time", GREEN, |share| share.in_time),
     ];
-    let most = result.seconds.iter().map(|s| s.asked).max().unwrap_or(1);
+    let max = result.seconds.iter().map(|s| s.asked).max().unwrap_or(1);
     let area = SVGBackend::with_string(text, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(8)
         .x_label_area_size(28)
         .y_label_area_size(40)
-        .build_cartesian_2d(0..result.seconds.len(), 0..most + 1)?;
+        .build_cartesian_2d(0..result.seconds.len(), 0..max + 1)?;
     chart.configure_mesh().x_desc("second").y_desc("requests").draw()?;
     for (name, colour, value) in lines {
         let seconds = result.seconds.iter().enumerate();
