--- a/crates/raildale-testkit/src/load/pattern.rs
+++ b/crates/raildale-testkit/src/load/pattern.rs
@@ -1,37 +1,38 @@
-//! What is played: a fleet, its callers, and what happens to targets.
+//! Load patterns: a fleet, its callers, and the events that affect targets.
 
 use std::path::Path;
 
 use serde::Deserialize;
 
-/// A load pattern, as its file holds it.
+/// A load pattern, as deserialized from its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pattern {
-    /// What it is called in tables.
+    /// The name shown in tables.
     pub name: String,
-    /// How long callers arrive, in seconds.
+    /// The period in which callers arrive, in seconds.
     pub length_s: f64,
-    /// What arrives before this is not counted, in seconds.
+    /// The time before which arrivals are not counted, in seconds.
     #[serde(default)]
     pub warm_up_s: f64,
     /// The fleet.
     pub fleet: FleetPattern,
     /// The engines of all targets.
     pub engine: EnginePattern,
-    /// What callers ask for.
+    /// The kinds of requests that callers send.
     #[serde(rename = "route")]
     pub routes: Vec<RoutePattern>,
-    /// How many arrive, from when on.
+    /// The arrival rate over time, in ascending order of `at_s`.
     #[serde(rename = "rate")]
     pub rates: Vec<RateStep>,
-    /// Organisations' shares of the requests; one alone if empty.
+    /// Relative shares of the requests by organisation; a single organisation
+    /// if empty.
     #[serde(default)]
     pub organisation_shares: Vec<f64>,
-    /// Callers that repeat at once and often.
+    /// Callers that retry immediately.
     #[serde(default)]
     pub repeaters: Repeaters,
-    /// Targets that leave for a while.
+    /// Temporary absences of targets.
     #[serde(default, rename = "absence")]
     pub absences: Vec<Absence>,
     /// Restores of the store from an older copy.
@@ -39,49 +40,50 @@
     pub restores: Vec<StoreRestore>,
 }
 
-/// Where everything stands.
+/// The hosts of the fleet by data centre, and the latencies between them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPattern {
-    /// Entry hosts of each data centre.
+    /// The number of entry hosts in each data centre.
     pub entry_hosts: Vec<usize>,
-    /// Targets of each data centre.
+    /// The number of targets in each data centre.
     pub targets: Vec<usize>,
-    /// Shares of the callers, by data centre; equal ones if empty.
+    /// Relative shares of the callers by data centre; equal shares if empty.
     #[serde(default)]
     pub caller_shares: Vec<f64>,
-    /// From one data centre to another, in milliseconds.
+    /// The one-way latency between data centres, in milliseconds.
     pub crossing_ms: f64,
-    /// From a caller to an entry host, in milliseconds.
+    /// The one-way latency from a caller to an entry host, in milliseconds.
     pub caller_way_ms: f64,
-    /// Time between two reports of an agent, in milliseconds.
+    /// The interval of an agent's reports, in milliseconds.
     pub report_every_ms: f64,
-    /// Of so many reports other data centres get one.
+    /// Other data centres get every n-th report.
     pub far_report_every: u32,
-    /// Time between two digests of a data centre, in milliseconds, for a large
-    /// fleet: agents then report to entry hosts next door that use their
-    /// targets, and the others hear by digest.
+    /// The interval of a data centre's digests, in milliseconds, for a large
+    /// fleet. If set, agents report only to the entry hosts of their own data
+    /// centre that use their targets; the others get digests.
     #[serde(default)]
     pub digest_every_ms: Option<f64>,
 }
 
-/// Figures of an engine.
+/// The capacity and speed of an engine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginePattern {
-    /// Requests that run at once.
+    /// The maximum number of requests in a batch.
     pub slots: usize,
-    /// Requests that may wait in it.
+    /// The maximum number of requests in the engine's queue.
     pub queue: usize,
-    /// Milliseconds of one step.
+    /// The duration of one step without requests, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each running request adds to a step.
+    /// The time that each request that generates adds to a step, in
+    /// milliseconds.
     pub per_sequence_ms: f64,
-    /// Steps, and tokens, of one event.
+    /// The number of steps, and of tokens, per event.
     pub stride: u32,
-    /// Prompt tokens read in a millisecond.
+    /// The number of prompt tokens read per millisecond.
     pub prompt_tokens_per_ms: f64,
-    /// Prompt tokens read in one pass at most.
+    /// The maximum number of prompt tokens read in one pass.
     pub chunk_tokens: f64,
 }
 
@@ -89,82 +91,85 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutePattern {
-    /// Its name.
+    /// The name of its route.
     pub name: String,
-    /// Its share of the requests.
+    /// Its relative share of the requests.
     pub share: f64,
-    /// The time to the first event that is in time, in milliseconds.
+    /// The maximum time to the first event of an answer in time, in
+    /// milliseconds.
     pub goal_ms: u64,
-    /// The longest pause that is in time, in milliseconds.
+    /// The maximum pause between two events of an answer in time, in
+    /// milliseconds.
     pub gap_goal_ms: u64,
-    /// How long callers wait, in milliseconds.
+    /// The time limit of a request over all its caller's tries, in
+    /// milliseconds.
     pub timeout_ms: u64,
-    /// What an answer in time is worth.
+    /// The credit for an answer in time.
     pub worth: f64,
-    /// What a late one is worth.
+    /// The credit for a late answer.
     pub late_worth: f64,
-    /// Mean tokens of a prompt.
+    /// The mean number of prompt tokens.
     pub prompt_tokens: f64,
-    /// Mean events of an answer.
+    /// The mean number of events per answer.
     pub events: f64,
-    /// Standard deviation of both over their mean.
+    /// The standard deviation of both numbers, divided by their mean.
     pub spread: f64,
 }
 
-/// From when on how many requests arrive.
+/// An arrival rate and the time from which it applies.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RateStep {
-    /// When it begins, in seconds.
+    /// The time from which it applies, in seconds.
     pub at_s: f64,
-    /// Requests in a second.
+    /// The number of requests per second.
     pub per_s: f64,
 }
 
-/// Callers that do not come back when they are told to.
+/// Callers that retry immediately and ignore the retry time given to them.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Repeaters {
     /// Their share of the callers.
     pub share: f64,
-    /// How often each comes back, at once.
+    /// The number of retries of each.
     pub repeats: u32,
 }
 
-/// Targets that take nothing for a while, one after the other.
+/// Targets that stop accepting requests for a while, one after the other.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Absence {
-    /// When the first goes, in seconds.
+    /// The time at which the first target stops accepting, in seconds.
     pub at_s: f64,
-    /// How many go.
+    /// The number of targets.
     pub count: usize,
-    /// Those of this data centre only; neighbours in turn stand in different
-    /// ones otherwise.
+    /// The data centre of the targets. If `None`, the data centres take turns.
     pub data_centre: Option<usize>,
-    /// Time between two that go, in milliseconds.
+    /// The time between one target and the next, in milliseconds.
     #[serde(default)]
     pub gap_ms: f64,
-    /// How long one says that it takes nothing new before what runs there is
-    /// cut, in milliseconds; 0 if it goes without a word.
+    /// The time for which a target reports that it accepts no new requests
+    /// before its running ones are cut, in milliseconds; 0 if it stops without
+    /// notice.
     #[serde(default)]
     pub drain_ms: f64,
-    /// From then until it serves again, in milliseconds.
+    /// The time from the cut until the target serves again, in milliseconds.
     pub away_ms: f64,
 }
 
-/// The store is restored, and the entries of all targets are lost.
+/// A restore of the store that loses the entries of all targets.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreRestore {
-    /// When, in seconds.
+    /// The time of the restore, in seconds.
     pub at_s: f64,
-    /// From then until the last target has written its entry again, in
-    /// milliseconds.
+    /// The time from the restore until the last target has written its entry
+    /// again, in milliseconds.
     pub again_most_ms: f64,
 }
 
-/// Why a pattern cannot be played.
+/// Why a load pattern cannot be run.
 #[derive(Debug, displaydoc::Display)]
 pub enum PatternError {
     /// 1401 the file cannot be read: {0}
@@ -178,22 +183,24 @@
 impl std::error::Error for PatternError {}
 
 impl Pattern {
-    /// Reads a pattern from a file.
+    /// Reads and checks a pattern from a file.
     ///
     /// # Errors
     ///
-    /// A [`PatternError`].
+    /// Returns a [`PatternError`] if the file cannot be read, cannot be parsed
+    /// or holds a value out of range.
     pub fn read(path: &Path) -> Result<Pattern, PatternError> {
         let text = std::fs::read_to_string(path);
         text.map_err(PatternError::Unreadable)?.parse()
     }
 
-    /// Data centres of the fleet.
+    /// Returns the number of data centres.
     pub fn data_centre_count(&self) -> usize {
         self.fleet.targets.len()
     }
 
-    /// Requests that arrive in a second at a time.
+    /// Returns the arrival rate at `at_s` in requests per second; 0 before the
+    /// first [`RateStep`].
     pub fn rate_at(&self, at_s: f64) -> f64 {
         let step = self.rates.iter().rev().find(|step| step.at_s <= at_s);
         step.map_or(0.0, |step| step.per_s)
@@ -203,26 +210,36 @@
         let fleet = &self.fleet;
         let engine = &self.engine;
         let has_hosts = fleet.entry_hosts.iter().sum::<usize>() > 0;
-        let is_alike = fleet.entry_hosts.len() == fleet.targets.len();
+        let has_equal_lengths = fleet.entry_hosts.len() == fleet.targets.len();
         let shares = fleet.caller_shares.len();
-        let paces = [
+        let positive = [
             engine.step_ms,
             engine.prompt_tokens_per_ms,
             engine.chunk_tokens,
             fleet.report_every_ms,
         ];
         let checks = [
-            (has_hosts, "no entry host"),
-            (is_alike, "entry_hosts and targets differ in data centres"),
-            (shares == 0 || shares == fleet.targets.len(), "caller_shares"),
-            (!self.routes.is_empty(), "no route"),
-            (!self.rates.is_empty(), "no rate"),
+            (has_hosts, "entry_hosts must add up to more than 0"),
+            (
+                has_equal_lengths,
+                "entry_hosts and targets must have one number for each data centre",
+            ),
+            (
+                shares == 0 || shares == fleet.targets.len(),
+                "caller_shares must be empty or have one for each data centre",
+            ),
+            (!self.routes.is_empty(), "at least one route is required"),
+            (!self.rates.is_empty(), "at least one rate is required"),
             (engine.slots > 0, "engine.slots must be over 0"),
             (engine.stride > 0, "engine.stride must be over 0"),
             (fleet.far_report_every > 0, "far_report_every must be over 0"),
-            (paces.iter().all(|pace| *pace > 0.0), "a pace is not over 0"),
+            (
+                positive.iter().all(|value| *value > 0.0),
+                "step_ms, prompt_tokens_per_ms, chunk_tokens and \
+                 report_every_ms must be over 0",
+            ),
             (self.length_s > 0.0, "length_s must be over 0"),
-            (self.length_s <= LENGTH_MOST_S, "length_s is over 600"),
+            (self.length_s <= MAX_LENGTH_S, "length_s is over 600"),
         ];
         match checks.iter().find(|(holds, _)| !holds) {
             Some((_, reason)) => Err(PatternError::Invalid(reason)),
@@ -231,8 +248,8 @@
     }
 }
 
-/// The longest pattern that is played, in seconds.
-const LENGTH_MOST_S: f64 = 600.0;
+/// The maximum length of a pattern, in seconds.
+const MAX_LENGTH_S: f64 = 600.0;
 
 impl std::str::FromStr for Pattern {
     type Err = PatternError;
