--- a/crates/raildale-testkit/src/load/sample.rs
+++ b/crates/raildale-testkit/src/load/sample.rs
@@ -1,101 +1,105 @@
-//! What callers ask for, drawn from a seed.
+//! The callers' requests, drawn from a seed.
 
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 
 use super::pattern::{Pattern, RoutePattern};
 
-/// One request, over all tries of its caller.
+/// A request, over all tries of its caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// When it first arrives, in milliseconds.
+    /// The time of its first arrival at an entry host, in milliseconds.
     pub at_ms: f64,
-    /// The place of its route among the pattern's.
+    /// The index of its route in the pattern.
     pub route: usize,
-    /// The organisation that asks.
+    /// The index of its organisation.
     pub organisation: usize,
-    /// The data centre next to the caller.
+    /// The index of the data centre closest to the caller.
     pub data_centre: usize,
-    /// Tokens of its prompt.
+    /// The number of prompt tokens.
     pub prompt_tokens: f64,
-    /// Events of its answer.
+    /// The number of events of its answer.
     pub events: u32,
-    /// Tries after the first.
+    /// The maximum number of tries after the first.
     pub retries: u32,
-    /// Whether its caller comes back at once, whatever it is told.
+    /// Whether its caller retries immediately, regardless of the retry time
+    /// given to it.
     pub is_repeater: bool,
 }
 
-/// Everything that is asked for in a pattern, by time.
+/// Draws all requests of a pattern, ordered by arrival time. Arrivals form a
+/// Poisson process with the rate of the pattern.
 pub fn requests(pattern: &Pattern, seed: u64) -> Vec<CallerRequest> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut at_ms = 0.0;
-    let mut asked = Vec::new();
+    let mut drawn = Vec::new();
     loop {
         let per_s = pattern.rate_at(at_ms / 1e3).max(1e-3);
         at_ms += -rng.random::<f64>().max(1e-12).ln() * 1e3 / per_s;
         if at_ms >= pattern.length_s * 1e3 {
-            return asked;
+            return drawn;
         }
-        asked.push(request(pattern, &mut rng, at_ms));
+        drawn.push(draw_request(pattern, &mut rng, at_ms));
     }
 }
 
-fn request(
+fn draw_request(
     pattern: &Pattern,
     rng: &mut SmallRng,
     at_ms: f64,
 ) -> CallerRequest {
     let shares: Vec<f64> = pattern.routes.iter().map(|r| r.share).collect();
-    let route = drawn_place(rng, &shares);
+    let route = draw_index(rng, &shares);
     let spec: &RoutePattern = &pattern.routes[route];
     let repeaters = pattern.repeaters;
     let is_repeater = rng.random::<f64>() < repeaters.share;
-    let centres = equal_if_empty(
+    let centres = shares_or_equal(
         &pattern.fleet.caller_shares,
         pattern.data_centre_count(),
     );
     CallerRequest {
         at_ms,
         route,
-        organisation: drawn_place(
+        organisation: draw_index(
             rng,
-            &equal_if_empty(&pattern.organisation_shares, 1),
+            &shares_or_equal(&pattern.organisation_shares, 1),
         ),
-        data_centre: drawn_place(rng, &centres),
-        prompt_tokens: size(rng, spec.prompt_tokens, spec.spread),
-        events: size(rng, spec.events, spec.spread).round().max(1.0) as u32,
+        data_centre: draw_index(rng, &centres),
+        prompt_tokens: draw_size(rng, spec.prompt_tokens, spec.spread),
+        events: draw_size(rng, spec.events, spec.spread).round().max(1.0)
+            as u32,
         retries: if is_repeater { repeaters.repeats } else { 1 },
         is_repeater,
     }
 }
 
-fn equal_if_empty(shares: &[f64], count: usize) -> Vec<f64> {
+fn shares_or_equal(shares: &[f64], count: usize) -> Vec<f64> {
     match shares.is_empty() {
         true => vec![1.0; count],
         false => shares.to_vec(),
     }
 }
 
-/// A place among `shares`, each as likely as its share.
-fn drawn_place(rng: &mut SmallRng, shares: &[f64]) -> usize {
+/// Draws an index of `shares` with a probability proportional to its share.
+fn draw_index(rng: &mut SmallRng, shares: &[f64]) -> usize {
     let mut left = rng.random::<f64>() * shares.iter().sum::<f64>();
-    for (place, share) in shares.iter().enumerate() {
+    for (index, share) in shares.iter().enumerate() {
         left -= share;
         if left < 0.0 {
-            return place;
+            return index;
         }
     }
     shares.len() - 1
 }
 
-/// A size of log-normal spread around its mean, three times that at most.
-fn size(rng: &mut SmallRng, mean: f64, spread: f64) -> f64 {
-    /// The largest size over the mean.
-    const MOST: f64 = 3.0;
+/// Draws a size from a log-normal distribution with the given mean and
+/// relative standard deviation, clamped to between 1 and three times the mean.
+fn draw_size(rng: &mut SmallRng, mean: f64, spread: f64) -> f64 {
+    /// The maximum size, as a multiple of the mean.
+    const MAX_OVER_MEAN: f64 = 3.0;
     let variance = (1.0 + spread * spread).ln();
-    let turn = std::f64::consts::TAU * rng.random::<f64>();
+    let angle = std::f64::consts::TAU * rng.random::<f64>();
     let radius = (-2.0 * rng.random::<f64>().max(1e-12).ln()).sqrt();
-    let normal = radius * turn.cos();
+    let normal = radius * angle.cos();
     let drawn = mean * (normal * variance.sqrt() - variance / 2.0).exp();
-    drawn.clamp(1.0, mean * MOST)
+    drawn.clamp(1.0, mean * MAX_OVER_MEAN)
 }
