--- a/crates/raildale-testkit/src/load/reports.rs
+++ b/crates/raildale-testkit/src/load/reports.rs
@@ -1,19 +1,19 @@
-//! What entry hosts hear of targets and of one another, and when.
+//! Reports, digests and heartbeats sent to entry hosts, with their latencies.
 
 use raildale_core::gateway::{TargetReport, shares::Sender};
 use rand::RngExt;
 
 use super::world::{
-    Event, HEARTBEAT_MS, NEAR_MS, TargetHost, VERSION, World, centre_name,
-    target_id,
+    Event, HEARTBEAT_MS, LOCAL_LATENCY_MS, TargetHost, VERSION, World,
+    data_centre_name, target_id,
 };
 
 impl World<'_> {
-    /// An entry host hears how much the others need targets for.
-    pub(super) fn heartbeats(&mut self, host: usize) {
+    /// Delivers to an entry host the demand of all entry hosts.
+    pub(super) fn on_heartbeat(&mut self, host: usize) {
         let now_ms = self.clock_ms();
         let senders = self.hosts.iter().map(|host| Sender {
-            data_centre: centre_name(host.data_centre),
+            data_centre: data_centre_name(host.data_centre),
             demand: host.gateway.demand_per_s(now_ms),
         });
         let senders = senders.collect();
@@ -21,39 +21,45 @@
         let gateway = &mut self.hosts[host].gateway;
         gateway.set_entry_hosts(senders, host);
         gateway.set_known_entry_hosts(known);
-        self.schedule(HEARTBEAT_MS, Event::Heartbeats(host));
+        self.schedule(HEARTBEAT_MS, Event::Heartbeat(host));
     }
 
-    /// An agent looks at its target and reports.
-    pub(super) fn report(&mut self, target: usize) {
+    /// Sends the regular report of an agent.
+    pub(super) fn on_report_due(&mut self, target: usize) {
         let every_ms = self.pattern.fleet.report_every_ms;
-        self.targets[target].looks += 1;
+        self.targets[target].report_count += 1;
         let far_every = self.pattern.fleet.far_report_every;
-        let is_far_due = self.targets[target].looks.is_multiple_of(far_every);
-        self.tell(target, is_far_due);
-        self.schedule(every_ms, Event::Report(target));
+        let is_far_due =
+            self.targets[target].report_count.is_multiple_of(far_every);
+        self.send_report(target, is_far_due);
+        self.schedule(every_ms, Event::ReportDue(target));
     }
 
-    /// Tells the entry hosts nearby how a target stands, and the others if
-    /// `is_far_due`.
-    pub(super) fn tell(&mut self, target: usize, is_far_due: bool) {
+    /// Sends a target's report to the entry hosts of its data centre, and to
+    /// the others if `is_far_due`.
+    pub(super) fn send_report(&mut self, target: usize, is_far_due: bool) {
         let fleet = &self.pattern.fleet;
         for host in 0..self.hosts.len() {
             let known = &self.targets[target];
             let is_near = self.hosts[host].data_centre == known.data_centre;
-            if !is_near && !is_far_due || !self.is_told(host, target) {
+            if !is_near && !is_far_due || !self.reports_directly(host, target)
+            {
                 continue;
             }
-            let way_ms = if is_near { NEAR_MS } else { fleet.crossing_ms };
+            let latency_ms =
+                if is_near { LOCAL_LATENCY_MS } else { fleet.crossing_ms };
             let every = if is_near { 1 } else { fleet.far_report_every };
             let every_ms = fleet.report_every_ms as u32 * every;
-            let report = known.report(every_ms, way_ms);
-            self.schedule(way_ms, Event::Reported { host, target, report });
+            let report = known.report(every_ms, latency_ms);
+            self.schedule(
+                latency_ms,
+                Event::ReportReceived { host, target, report },
+            );
         }
     }
 
-    /// Whether an agent reports to an entry host itself.
-    fn is_told(&self, host: usize, target: usize) -> bool {
+    /// Returns whether an agent reports to an entry host directly.
+    fn reports_directly(&self, host: usize, target: usize) -> bool {
         if self.pattern.fleet.digest_every_ms.is_none() {
             return true;
         }
@@ -63,8 +69,9 @@
         is_used && self.hosts[host].data_centre == centre
     }
 
-    /// Tells all entry hosts what the targets of a data centre last reported.
-    pub(super) fn digest(&mut self, centre: usize) {
+    /// Sends the state of a data centre's targets, as of their last reports,
+    /// to all entry hosts.
+    pub(super) fn send_digest(&mut self, centre: usize) {
         let fleet = &self.pattern.fleet;
         let Some(every_ms) = fleet.digest_every_ms else { return };
         let (report_ms, crossing_ms) =
@@ -77,24 +84,30 @@
             let at_ms = self.clock_ms() - age_ms as u64;
             for host in 0..self.hosts.len() {
                 let is_near = self.hosts[host].data_centre == centre;
-                // Passed on by a second entry host elsewhere.
-                let way_ms = match is_near {
-                    true => NEAR_MS,
-                    false => crossing_ms + NEAR_MS,
+                // In other data centres an entry host relays the digest.
+                let latency_ms = match is_near {
+                    true => LOCAL_LATENCY_MS,
+                    false => crossing_ms + LOCAL_LATENCY_MS,
                 };
                 let known = &self.targets[target];
-                let report = known.report(every_ms as u32, way_ms);
-                let told = Event::Told { host, target, at_ms, report };
-                self.schedule(way_ms, told);
+                let report = known.report(every_ms as u32, latency_ms);
+                let received = Event::RelayedReportReceived {
+                    host,
+                    target,
+                    at_ms,
+                    report,
+                };
+                self.schedule(latency_ms, received);
             }
         }
-        self.schedule(every_ms, Event::Digest(centre));
+        self.schedule(every_ms, Event::DigestDue(centre));
     }
 }
 
 impl TargetHost {
-    /// What its agent tells, which reaches an entry host in `way_ms`.
-    fn report(&self, every_ms: u32, way_ms: f64) -> TargetReport {
+    /// Returns the report of its agent; `latency_ms` is the one-way latency to
+    /// the entry host.
+    fn report(&self, every_ms: u32, latency_ms: f64) -> TargetReport {
         TargetReport {
             is_up: true,
             is_accepting: self.is_accepting,
@@ -104,7 +117,7 @@
             queued: self.engine.waiting() as u32,
             pace: 1.0,
             missing_chunks: 0,
-            round_trip_ms: (2.0 * way_ms) as u64,
+            round_trip_ms: (2.0 * latency_ms) as u64,
             every_ms,
         }
     }
--- a/crates/raildale-testkit/src/load/result.rs
+++ b/crates/raildale-testkit/src/load/result.rs
@@ -1,4 +1,4 @@
-//! What callers got, with its tables.
+//! The results of a load run and their tables.
 
 use std::fmt::{self, Write};
 
@@ -6,105 +6,111 @@
 
 use super::{pattern::Pattern, sample::CallerRequest};
 
-/// How a request ended.
+/// The end of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Its answer is whole.
+    /// The whole answer arrived.
     Whole,
-    /// It was refused, after so many tries.
+    /// It was refused at its caller's last try.
     Refused {
-        /// Its caller's tries.
+        /// The number of the caller's tries.
         tries: u32,
     },
-    /// Its answer broke off.
+    /// The answer broke off and could not be resumed.
     Cut,
-    /// Its caller left.
+    /// The caller left without the whole answer.
     CallerLeft,
 }
 
-/// One request that was played.
+/// The result of one request, over all tries of its caller.
 #[derive(Clone, Debug)]
 pub struct RequestResult {
-    /// What was asked for.
-    pub asked: CallerRequest,
-    /// From its caller's first try to the first event, in milliseconds.
+    /// The request.
+    pub request: CallerRequest,
+    /// The time from the caller's first try to the first event, in
+    /// milliseconds; `None` if there was no event.
     pub first_event_ms: Option<f64>,
     /// The longest pause between two events, in milliseconds.
     pub longest_pause_ms: f64,
-    /// How it ended.
+    /// The end of the request.
     pub ending: Ending,
 }
 
-/// How a request counts.
+/// The column of the tables in which a request counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mark {
+enum Column {
     InTime,
     Late,
     Refused,
     Lost,
 }
 
-/// What a group of requests got.
+/// The results of a group of requests.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct GroupStats {
-    /// What the group is called.
+    /// The name of the group.
     pub name: String,
-    /// Requests.
+    /// The number of requests.
     pub asked: u32,
-    /// Answered whole and in time.
+    /// The number of whole answers in time.
     pub in_time: u32,
-    /// Answered whole and late.
+    /// The number of whole answers that were late.
     pub late: u32,
-    /// Refused to the end.
+    /// The number of requests refused at their last try.
     pub refused: u32,
-    /// Cut, or left by their callers.
+    /// The number of answers that broke off, and of requests whose callers
+    /// left.
     pub lost: u32,
-    /// The part of the credit owed that was earned.
+    /// The earned part of the credit for answering every request in time; 1 if
+    /// there are no requests.
     pub credit: f64,
 }
 
-/// What a load pattern came to.
+/// The results of one run of a load pattern.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LoadResult {
-    /// The pattern.
+    /// The name of the pattern.
     pub pattern: String,
-    /// The seed of callers and draws.
+    /// The seed of the run.
     pub seed: u64,
-    /// The share of the credit owed that no policy exceeds.
+    /// The maximum of `all.credit` that any policy can reach.
     pub bound: f64,
-    /// Everything.
+    /// All requests.
     pub all: GroupStats,
-    /// By route.
+    /// Results by route.
     pub routes: Vec<GroupStats>,
-    /// By organisation.
+    /// Results by organisation.
     pub organisations: Vec<GroupStats>,
-    /// By data centre.
+    /// Results by data centre of the caller.
     pub data_centres: Vec<GroupStats>,
-    /// By second of the first try.
+    /// Results by the second of the first try.
     pub seconds: Vec<GroupStats>,
 }
 
 impl LoadResult {
-    /// Adds up what was played.
+    /// Aggregates the results of requests. Those that arrived during the
+    /// warm-up are left out.
     pub fn new(
         pattern: &Pattern,
         seed: u64,
-        played: Vec<RequestResult>,
+        results: Vec<RequestResult>,
         bound: f64,
     ) -> LoadResult {
         let from_ms = pattern.warm_up_s * 1e3;
-        let counted: Vec<&RequestResult> =
-            played.iter().filter(|one| one.asked.at_ms >= from_ms).collect();
+        let counted: Vec<&RequestResult> = results
+            .iter()
+            .filter(|one| one.request.at_ms >= from_ms)
+            .collect();
         let grouped =
             |count: usize,
              name: &dyn Fn(usize) -> String,
              key: &dyn Fn(&CallerRequest) -> usize| {
-                let group = |place: usize| {
-                    let of = counted
+                let group = |index: usize| {
+                    let members = counted
                         .iter()
-                        .filter(|one| key(&one.asked) == place)
+                        .filter(|one| key(&one.request) == index)
                         .copied();
-                    share(pattern, name(place), of)
+                    stats(pattern, name(index), members)
                 };
                 (0..count).map(group).collect::<Vec<GroupStats>>()
             };
@@ -113,31 +119,31 @@
             pattern: pattern.name.clone(),
             seed,
             bound,
-            all: share(pattern, "all".into(), counted.iter().copied()),
+            all: stats(pattern, "all".into(), counted.iter().copied()),
             routes: grouped(
                 pattern.routes.len(),
-                &|place| pattern.routes[place].name.clone(),
-                &|asked| asked.route,
+                &|index| pattern.routes[index].name.clone(),
+                &|request| request.route,
             ),
             organisations: grouped(
                 organisations,
-                &|place| format!("organisation {place}"),
-                &|asked| asked.organisation,
+                &|index| format!("organisation {index}"),
+                &|request| request.organisation,
             ),
             data_centres: grouped(
                 pattern.data_centre_count(),
-                &|place| format!("data centre {place}"),
-                &|asked| asked.data_centre,
+                &|index| format!("data centre {index}"),
+                &|request| request.data_centre,
             ),
             seconds: grouped(
                 pattern.length_s.ceil() as usize,
-                &|place| format!("second {place}"),
-                &|asked| (asked.at_ms / 1e3) as usize,
+                &|index| format!("second {index}"),
+                &|request| (request.at_ms / 1e3) as usize,
             ),
         }
     }
 
-    /// Every group but the seconds, the whole first.
+    /// Returns every group except those by second, `all` first.
     pub fn groups(&self) -> impl Iterator<Item = &GroupStats> {
         std::iter::once(&self.all)
             .chain(&self.routes)
@@ -145,22 +151,22 @@
             .chain(&self.data_centres)
     }
 
-    /// Every group, the seconds last.
-    pub fn shares(&self) -> impl Iterator<Item = &GroupStats> {
+    /// Returns every group, those by second last.
+    pub fn all_groups(&self) -> impl Iterator<Item = &GroupStats> {
         self.groups().chain(&self.seconds)
     }
 
-    /// The lowest credit of a route.
+    /// Returns the lowest credit of a route.
     pub fn worst_route(&self) -> f64 {
         self.routes.iter().map(|share| share.credit).fold(1.0, f64::min)
     }
 
-    /// All groups as comma-separated values.
+    /// Returns all groups as comma-separated values with a header line.
     pub fn csv(&self) -> String {
         let mut text = String::from(
             "group,asked,in_time,late,refused,lost,credit,bound\n",
         );
-        for share in self.shares() {
+        for share in self.all_groups() {
             let GroupStats {
                 name,
                 asked,
@@ -171,7 +177,7 @@
                 credit,
             } = share;
             let bound = self.bound;
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(
                 text,
                 "{name},{asked},{in_time},{late},{refused},{lost},\
@@ -215,44 +221,45 @@
     }
 }
 
-fn share<'a>(
+fn stats<'a>(
     pattern: &Pattern,
     name: String,
-    played: impl Iterator<Item = &'a RequestResult>,
+    results: impl Iterator<Item = &'a RequestResult>,
 ) -> GroupStats {
-    let mut share = GroupStats { name, ..GroupStats::default() };
-    let mut owed = 0.0;
+    let mut group = GroupStats { name, ..GroupStats::default() };
+    let mut total_credit = 0.0;
     let mut earned = 0.0;
-    for one in played {
-        let route = &pattern.routes[one.asked.route];
-        share.asked += 1;
-        owed += route.worth;
-        match mark(pattern, one) {
-            Mark::InTime => {
-                share.in_time += 1;
+    for one in results {
+        let route = &pattern.routes[one.request.route];
+        group.asked += 1;
+        total_credit += route.worth;
+        match column(pattern, one) {
+            Column::InTime => {
+                group.in_time += 1;
                 earned += route.worth;
             }
-            Mark::Late => {
-                share.late += 1;
+            Column::Late => {
+                group.late += 1;
                 earned += route.late_worth;
             }
-            Mark::Refused => share.refused += 1,
-            Mark::Lost => share.lost += 1,
+            Column::Refused => group.refused += 1,
+            Column::Lost => group.lost += 1,
         }
     }
-    share.credit = if owed > 0.0 { earned / owed } else { 1.0 };
-    share
+    group.credit =
+        if total_credit > 0.0 { earned / total_credit } else { 1.0 };
+    group
 }
 
-fn mark(pattern: &Pattern, one: &RequestResult) -> Mark {
-    let route = &pattern.routes[one.asked.route];
+fn column(pattern: &Pattern, one: &RequestResult) -> Column {
+    let route = &pattern.routes[one.request.route];
     let is_first_in_time =
         one.first_event_ms.is_some_and(|ms| ms <= route.goal_ms as f64);
     let is_steady = one.longest_pause_ms <= route.gap_goal_ms as f64;
     match one.ending {
-        Ending::Whole if is_first_in_time && is_steady => Mark::InTime,
-        Ending::Whole => Mark::Late,
-        Ending::Refused { .. } => Mark::Refused,
-        Ending::Cut | Ending::CallerLeft => Mark::Lost,
+        Ending::Whole if is_first_in_time && is_steady => Column::InTime,
+        Ending::Whole => Column::Late,
+        Ending::Refused { .. } => Column::Refused,
+        Ending::Cut | Ending::CallerLeft => Column::Lost,
     }
 }
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -1,4 +1,4 @@
-//! Callers, entry hosts and targets together, in virtual time.
+//! The simulation of callers, entry hosts and targets, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -27,88 +27,102 @@
     sample::CallerRequest,
 };
 
-/// Virtual time at the start, in milliseconds: clocks do not begin at 0.
+/// The virtual time at the start, in milliseconds. Clocks of real hosts do not
+/// begin at 0 either.
 const START_MS: f64 = 1_000_000.0;
 
-/// Inside a data centre, in milliseconds.
-pub(super) const NEAR_MS: f64 = 0.2;
+/// The one-way latency inside a data centre, in milliseconds.
+pub(super) const LOCAL_LATENCY_MS: f64 = 0.2;
 
-/// What an entry host needs for a request, in milliseconds.
-const HANDLING_MS: f64 = 1.5;
+/// An entry host's processing time per attempt, in milliseconds.
+const PROCESSING_MS: f64 = 1.5;
 
-/// Time between two heartbeats of entry hosts, in milliseconds.
+/// The interval of the heartbeats of entry hosts, in milliseconds.
 pub(super) const HEARTBEAT_MS: f64 = 400.0;
 
-/// Callers leave a stream that shows nothing for so long, in milliseconds.
-const SILENT_STREAM_MS: f64 = 2_000.0;
+/// The time after which callers leave a stream without new events, in
+/// milliseconds.
+const STREAM_IDLE_TIMEOUT_MS: f64 = 2_000.0;
 
 /// The version that every target serves.
 pub(super) const VERSION: u64 = 1;
 
-/// The only service.
+/// The name of the only service.
 const SERVICE: &str = "model";
 
-/// What happens, and to what.
+/// An event of the simulation, with the index of what it affects.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A caller's try reaches an entry host.
-    Arrive(usize),
-    /// A request that waits looks for a target again.
-    Look(usize, u32),
-    /// An attempt reaches its target.
-    Reach(usize),
-    /// A target's pass ends.
-    PassEnd(usize, u32),
+    /// A caller's try reaches an entry host: the call.
+    CallerArrived(usize),
+    /// A waiting request asks its gateway for a target again: the call and its
+    /// number of tries at the time of scheduling.
+    FindTarget(usize, u32),
+    /// An attempt reaches its target: the attempt.
+    AttemptReceived(usize),
+    /// A pass of a target's engine ends: the target and its incarnation.
+    PassEnded(usize, u32),
     /// An event of an attempt reaches its entry host.
-    Deliver { attempt: usize, is_last: bool },
+    EventReceived { attempt: usize, is_last: bool },
     /// An entry host learns how an attempt ended without an answer.
-    Fail(usize, Outcome),
-    /// An agent looks at its target.
-    Report(usize),
+    AttemptFailed(usize, Outcome),
+    /// The regular report of an agent is due: the target.
+    ReportDue(usize),
     /// A report reaches an entry host.
-    Reported { host: usize, target: usize, report: TargetReport },
-    /// A data centre's relay tells the others what it hears.
-    Digest(usize),
-    /// A digest that tells of a target reaches an entry host.
-    Told { host: usize, target: usize, at_ms: u64, report: TargetReport },
-    /// An entry host hears how much the others need targets for.
-    Heartbeats(usize),
-    /// A target takes nothing new.
+    ReportReceived { host: usize, target: usize, report: TargetReport },
+    /// The digest of a data centre is due: the data centre.
+    DigestDue(usize),
+    /// A report relayed in a digest reaches an entry host. `at_ms` is the time
+    /// of the report.
+    RelayedReportReceived {
+        host: usize,
+        target: usize,
+        at_ms: u64,
+        report: TargetReport,
+    },
+    /// The heartbeats of the other entry hosts reach an entry host.
+    Heartbeat(usize),
+    /// A target stops accepting requests.
     Drain(usize),
-    /// What runs at a target is cut.
-    Cut(usize),
+    /// A target stops serving, and its running requests are cut.
+    CutTarget(usize),
     /// A target serves again.
-    Back(usize),
-    /// The store is restored, and each entry of a target is lost.
+    Restart(usize),
+    /// The store is restored, and the entries of all targets are lost.
     Restore(StoreRestore),
-    /// Entry hosts hear of the entry that a target has written again.
+    /// Entry hosts learn of the entry that a target has written again.
     Relist(usize),
-    /// Entry hosts drop the targets whose entries have not come back.
-    Sweep,
-    /// A caller leaves if it has got nothing since.
+    /// Entry hosts remove the targets whose entries have not been written
+    /// again in time.
+    RemoveLapsed,
+    /// A caller leaves if its call still has these numbers of tries and
+    /// events.
     LeaveIfSilent { call: usize, tries: u32, events: u32 },
 }
 
 /// A caller's request, over all its tries.
 #[derive(Debug)]
 struct Call {
-    asked: CallerRequest,
+    request: CallerRequest,
     retries_left: u32,
     tries: u32,
     host: usize,
     admission: Option<Admission>,
+    /// When the call last began to wait for a target.
     since_ms: u64,
-    /// How urgent the attempt that runs is at its target.
+    /// The urgency of the running attempt; lower values run first.
     urgency: u8,
-    /// The attempt that runs.
+    /// The running attempt.
     attempt: Option<usize>,
-    events_got: u32,
+    event_count: u32,
+    /// When the first event reached the caller.
     first_event_ms: Option<f64>,
     last_event_ms: f64,
     longest_pause_ms: f64,
     ending: Option<Ending>,
 }
 
+/// An attempt of a call at a target.
 #[derive(Debug)]
 struct Attempt {
     call: usize,
@@ -117,30 +131,39 @@
     is_over: bool,
 }
 
+/// A simulated target.
 #[derive(Debug)]
 pub(super) struct TargetHost {
     pub(super) engine: Engine,
     pub(super) data_centre: usize,
     pub(super) is_accepting: bool,
     pub(super) is_up: bool,
-    /// Counts absences: what was under way before one is void.
-    pub(super) life: u32,
-    pub(super) looks: u32,
+    /// The number of absences so far. Passes that began in an earlier
+    /// incarnation are discarded.
+    pub(super) incarnation: u32,
+    /// The number of regular reports sent.
+    pub(super) report_count: u32,
 }
 
+/// An entry host, with its real gateway.
 pub(super) struct EntryHost {
     pub(super) gateway: Gateway,
     pub(super) data_centre: usize,
 }
 
-/// A fleet with its callers.
+/// A simulated fleet with its callers.
 pub struct World<'a> {
     pub(super) pattern: &'a Pattern,
     pub(super) rng: SmallRng,
+    /// The virtual time since the start.
     now_ms: f64,
-    order: u64,
-    /// How often the store was restored.
+    /// The sequence number of the last scheduled event, which orders events of
+    /// the same time.
+    sequence: u64,
+    /// The number of restores of the store so far.
     era: u64,
+    /// Pending events: time in microseconds, sequence number and index in
+    /// `events`.
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Event>,
     calls: Vec<Call>,
@@ -150,32 +173,35 @@
 }
 
 impl<'a> World<'a> {
-    /// A fleet that is asked for `requests`.
+    /// Returns a fleet that will receive `requests`.
     pub fn new(
         pattern: &'a Pattern,
         requests: Vec<CallerRequest>,
         seed: u64,
     ) -> World<'a> {
         let fleet = &pattern.fleet;
-        let targets = centres(&fleet.targets).map(|data_centre| TargetHost {
-            engine: Engine::new(pattern.engine.clone()),
-            data_centre,
-            is_accepting: true,
-            is_up: true,
-            life: 0,
-            looks: 0,
+        let targets = data_centre_of_each(&fleet.targets).map(|data_centre| {
+            TargetHost {
+                engine: Engine::new(pattern.engine.clone()),
+                data_centre,
+                is_accepting: true,
+                is_up: true,
+                incarnation: 0,
+                report_count: 0,
+            }
         });
         let targets: Vec<TargetHost> = targets.collect();
-        let hosts = centres(&fleet.entry_hosts).map(|data_centre| {
-            let gateway = gateway(pattern, &targets, data_centre);
-            EntryHost { gateway, data_centre }
-        });
+        let hosts =
+            data_centre_of_each(&fleet.entry_hosts).map(|data_centre| {
+                let gateway = gateway(pattern, &targets, data_centre);
+                EntryHost { gateway, data_centre }
+            });
         let calls = requests.into_iter().map(Call::new).collect();
         World {
             pattern,
             rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
             now_ms: 0.0,
-            order: 0,
+            sequence: 0,
             era: 0,
             queue: BinaryHeap::new(),
             events: Vec::new(),
@@ -186,40 +212,43 @@
         }
     }
 
-    /// Plays until every request has ended.
+    /// Runs until no event is left or the time limit has passed. Returns the
+    /// results of all requests in the order of their arrival.
     pub fn run(mut self) -> Vec<RequestResult> {
-        self.plan();
-        let end_ms = (self.pattern.length_s + LAST_S) * 1e3;
-        while let Some(Reverse((at_us, _, place))) = self.queue.pop() {
+        self.schedule_initial_events();
+        let end_ms = (self.pattern.length_s + DRAIN_S) * 1e3;
+        while let Some(Reverse((at_us, _, index))) = self.queue.pop() {
             self.now_ms = at_us as f64 / 1e3;
             if self.now_ms > end_ms {
                 break;
             }
-            let event = self.events[place].clone();
-            self.take(event);
+            let event = self.events[index].clone();
+            self.handle(event);
         }
         let pattern = self.pattern;
-        self.calls.into_iter().map(|call| call.played(pattern)).collect()
+        self.calls.into_iter().map(|call| call.into_result(pattern)).collect()
     }
 
-    fn plan(&mut self) {
+    /// Schedules the arrivals, the first periodic events and the events of the
+    /// pattern.
+    fn schedule_initial_events(&mut self) {
         for call in 0..self.calls.len() {
-            let at_ms = self.calls[call].asked.at_ms;
-            self.schedule_at(at_ms, Event::Arrive(call));
+            let at_ms = self.calls[call].request.at_ms;
+            self.schedule_at(at_ms, Event::CallerArrived(call));
         }
         let every_ms = self.pattern.fleet.report_every_ms;
         for target in 0..self.targets.len() {
             let offset_ms = self.rng.random::<f64>() * every_ms;
-            self.schedule_at(offset_ms, Event::Report(target));
+            self.schedule_at(offset_ms, Event::ReportDue(target));
         }
         for host in 0..self.hosts.len() {
             let offset_ms = self.rng.random::<f64>() * HEARTBEAT_MS;
-            self.schedule_at(offset_ms, Event::Heartbeats(host));
+            self.schedule_at(offset_ms, Event::Heartbeat(host));
         }
         if let Some(every_ms) = self.pattern.fleet.digest_every_ms {
             for centre in 0..self.pattern.data_centre_count() {
                 let offset_ms = self.rng.random::<f64>() * every_ms;
-                self.schedule_at(offset_ms, Event::Digest(centre));
+                self.schedule_at(offset_ms, Event::DigestDue(centre));
             }
         }
         for restore in &self.pattern.restores {
@@ -227,88 +256,101 @@
             self.schedule_at(at_ms, Event::Restore(*restore));
         }
         for absence in &self.pattern.absences {
-            let away = self.absent(absence.count, absence.data_centre);
-            for (place, target) in away.into_iter().enumerate() {
+            let absent =
+                self.absent_targets(absence.count, absence.data_centre);
+            for (index, target) in absent.into_iter().enumerate() {
                 let drain_ms =
-                    absence.at_s * 1e3 + absence.gap_ms * place as f64;
+                    absence.at_s * 1e3 + absence.gap_ms * index as f64;
                 let cut_ms = drain_ms + absence.drain_ms;
                 let back_ms = cut_ms + absence.away_ms;
                 if absence.drain_ms > 0.0 {
                     self.schedule_at(drain_ms, Event::Drain(target));
                 }
-                self.schedule_at(cut_ms, Event::Cut(target));
-                self.schedule_at(back_ms, Event::Back(target));
+                self.schedule_at(cut_ms, Event::CutTarget(target));
+                self.schedule_at(back_ms, Event::Restart(target));
             }
         }
     }
 
-    /// The targets that go, in turn.
-    fn absent(&self, count: usize, data_centre: Option<usize>) -> Vec<usize> {
-        let mut seen = vec![0; self.pattern.data_centre_count()];
+    /// Returns the targets of an absence in the order in which they stop.
+    fn absent_targets(
+        &self,
+        count: usize,
+        data_centre: Option<usize>,
+    ) -> Vec<usize> {
+        let mut counts = vec![0; self.pattern.data_centre_count()];
         let mut order: Vec<(usize, usize)> = Vec::new();
-        for (place, target) in self.targets.iter().enumerate() {
+        for (index, target) in self.targets.iter().enumerate() {
             let centre = target.data_centre;
             if data_centre.is_none_or(|wanted| wanted == centre) {
-                order.push((seen[centre], place));
-                seen[centre] += 1;
+                order.push((counts[centre], index));
+                counts[centre] += 1;
             }
         }
         order.sort_unstable();
-        order.into_iter().map(|(_, place)| place).take(count).collect()
+        order.into_iter().map(|(_, index)| index).take(count).collect()
     }
 
+    /// Schedules an event after a delay.
     pub(super) fn schedule(&mut self, after_ms: f64, event: Event) {
         self.schedule_at(self.now_ms + after_ms, event);
     }
 
     fn schedule_at(&mut self, at_ms: f64, event: Event) {
-        self.order += 1;
+        self.sequence += 1;
         let at_us = (at_ms * 1e3) as u64;
-        self.queue.push(Reverse((at_us, self.order, self.events.len())));
+        self.queue.push(Reverse((at_us, self.sequence, self.events.len())));
         self.events.push(event);
     }
 
+    /// Returns the time on the clocks of the entry hosts.
     pub(super) fn clock_ms(&self) -> u64 {
         (START_MS + self.now_ms) as u64
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive(call) => self.arrive(call),
-            Event::Look(call, tries) => self.look(call, tries),
-            Event::Reach(attempt) => self.reach(attempt),
-            Event::PassEnd(target, life) => self.pass_end(target, life),
-            Event::Deliver { attempt, is_last } => {
-                self.deliver(attempt, is_last);
+            Event::CallerArrived(call) => self.on_caller_arrived(call),
+            Event::FindTarget(call, tries) => self.find_target(call, tries),
+            Event::AttemptReceived(attempt) => {
+                self.on_attempt_received(attempt)
+            }
+            Event::PassEnded(target, incarnation) => {
+                self.on_pass_ended(target, incarnation)
+            }
+            Event::EventReceived { attempt, is_last } => {
+                self.on_event_received(attempt, is_last);
+            }
+            Event::AttemptFailed(attempt, outcome) => {
+                self.on_attempt_failed(attempt, outcome)
             }
-            Event::Fail(attempt, outcome) => self.fail(attempt, outcome),
-            Event::Report(target) => self.report(target),
-            Event::Reported { host, target, report } => {
+            Event::ReportDue(target) => self.on_report_due(target),
+            Event::ReportReceived { host, target, report } => {
                 let now_ms = self.clock_ms();
                 let targets = &mut self.hosts[host].gateway.targets;
                 targets.note_report(now_ms, address(target), report);
             }
-            Event::Heartbeats(host) => self.heartbeats(host),
-            Event::Digest(centre) => self.digest(centre),
-            Event::Told { host, target, at_ms, report } => {
+            Event::Heartbeat(host) => self.on_heartbeat(host),
+            Event::DigestDue(centre) => self.send_digest(centre),
+            Event::RelayedReportReceived { host, target, at_ms, report } => {
                 let targets = &mut self.hosts[host].gateway.targets;
                 targets.note_relayed_report(at_ms, address(target), report);
             }
             Event::Drain(target) => {
                 self.targets[target].is_accepting = false;
-                self.tell(target, true);
+                self.send_report(target, true);
             }
-            Event::Cut(target) => self.cut(target),
-            Event::Back(target) => {
+            Event::CutTarget(target) => self.cut_target(target),
+            Event::Restart(target) => {
                 self.targets[target].is_accepting = true;
                 self.targets[target].is_up = true;
-                self.tell(target, true);
+                self.send_report(target, true);
             }
             Event::Restore(restore) => self.restore(restore),
             Event::Relist(target) => self.relist(target),
-            Event::Sweep => self.sweep(),
+            Event::RemoveLapsed => self.remove_lapsed(),
             Event::LeaveIfSilent { call, tries, events } => {
-                self.leave(call, tries, events);
+                self.leave_if_silent(call, tries, events);
             }
         }
     }
@@ -317,9 +359,9 @@
         self.era += 1;
         let at_ms = self.clock_ms();
         for host in &mut self.hosts {
-            for place in 0..self.targets.len() {
+            for index in 0..self.targets.len() {
                 let targets = &mut host.gateway.targets;
-                if let Some(target) = targets.get_mut(&target_id(place)) {
+                if let Some(target) = targets.get_mut(&target_id(index)) {
                     target.lapse = Some(Lapse { at_ms, is_from_peer: false });
                 }
             }
@@ -329,24 +371,25 @@
             let after_ms = gap_ms * (target + 1) as f64;
             self.schedule(after_ms, Event::Relist(target));
         }
-        self.schedule(RELIST_TIMEOUT_MS as f64 + 1.0, Event::Sweep);
+        self.schedule(RELIST_TIMEOUT_MS as f64 + 1.0, Event::RemoveLapsed);
     }
 
-    fn relist(&mut self, place: usize) {
+    fn relist(&mut self, index: usize) {
         let stamp = Stamp::new(self.era, 1);
         for host in &mut self.hosts {
-            let spec = spec(self.pattern, &self.targets[place], place, stamp);
+            let spec =
+                target_spec(self.pattern, &self.targets[index], index, stamp);
             host.gateway.targets.put(spec);
         }
     }
 
-    fn sweep(&mut self) {
+    fn remove_lapsed(&mut self) {
         let now_ms = self.clock_ms();
         let store =
             StoreView { is_watcher: true, sees_store: true, recovered_ms: 0 };
         for host in &mut self.hosts {
-            for place in 0..self.targets.len() {
-                let id = target_id(place);
+            for index in 0..self.targets.len() {
+                let id = target_id(index);
                 let targets = &mut host.gateway.targets;
                 let lapse = targets.get(&id).and_then(|t| t.lapse);
                 if lapse.is_some_and(|lapse| lapse.is_over(now_ms, store)) {
@@ -356,8 +399,8 @@
         }
     }
 
-    fn arrive(&mut self, place: usize) {
-        let centre = self.calls[place].asked.data_centre;
+    fn on_caller_arrived(&mut self, index: usize) {
+        let centre = self.calls[index].request.data_centre;
         let near: Vec<usize> = (0..self.hosts.len())
             .filter(|host| self.hosts[*host].data_centre == centre)
             .collect();
@@ -366,10 +409,10 @@
             false => near[self.rng.random_range(0..near.len())],
         };
         let now_ms = self.clock_ms();
-        let call = &mut self.calls[place];
-        let route = &self.pattern.routes[call.asked.route];
-        let gone_ms = self.now_ms - call.asked.at_ms;
-        let left_ms = route.timeout_ms.saturating_sub(gone_ms as u64);
+        let call = &mut self.calls[index];
+        let route = &self.pattern.routes[call.request.route];
+        let elapsed_ms = self.now_ms - call.request.at_ms;
+        let left_ms = route.timeout_ms.saturating_sub(elapsed_ms as u64);
         let head = RequestHead {
             host: Name::from("fleet"),
             path: Name::from(format!("/{}/", route.name)),
@@ -384,15 +427,15 @@
         call.since_ms = now_ms;
         call.admission = admitted.ok();
         let tries = call.tries;
-        let silent_ms = SILENT_STREAM_MS.min(left_ms as f64);
-        let silence = Event::LeaveIfSilent { call: place, tries, events: 0 };
+        let silent_ms = STREAM_IDLE_TIMEOUT_MS.min(left_ms as f64);
+        let silence = Event::LeaveIfSilent { call: index, tries, events: 0 };
         self.schedule(silent_ms, silence);
-        self.look(place, tries);
+        self.find_target(index, tries);
     }
 
-    fn look(&mut self, place: usize, tries: u32) {
+    fn find_target(&mut self, index: usize, tries: u32) {
         let now_ms = self.clock_ms();
-        let call = &mut self.calls[place];
+        let call = &mut self.calls[index];
         let is_open = call.ending.is_none() && call.attempt.is_none();
         if !is_open || call.tries != tries {
             return;
@@ -401,81 +444,90 @@
         let gateway = &mut self.hosts[call.host].gateway;
         let draw = self.rng.random();
         match gateway.next(now_ms, admission, call.since_ms, draw) {
-            Next::Send(dispatch) => self.send(place, &dispatch),
+            Next::Send(dispatch) => self.send(index, &dispatch),
             Next::Wait(ms) => {
-                self.schedule(ms as f64, Event::Look(place, tries));
+                self.schedule(ms as f64, Event::FindTarget(index, tries));
             }
             Next::Refuse(refusal) => {
-                self.refused(place, refusal.retry_after_ms);
+                self.on_refusal(index, refusal.retry_after_ms);
             }
         }
     }
 
-    fn send(&mut self, place: usize, dispatch: &Dispatch) {
+    fn send(&mut self, index: usize, dispatch: &Dispatch) {
         let target = usize::from(dispatch.address.port()) - 1;
         let attempt = self.attempts.len();
         self.attempts.push(Attempt {
-            call: place,
+            call: index,
             target,
             sent_ms: self.clock_ms(),
             is_over: false,
         });
-        self.calls[place].attempt = Some(attempt);
-        self.calls[place].urgency = dispatch.urgency;
-        let way_ms = HANDLING_MS + self.way_ms(place, target);
-        self.schedule(way_ms, Event::Reach(attempt));
+        self.calls[index].attempt = Some(attempt);
+        self.calls[index].urgency = dispatch.urgency;
+        let latency_ms = PROCESSING_MS + self.latency_ms(index, target);
+        self.schedule(latency_ms, Event::AttemptReceived(attempt));
     }
 
-    fn way_ms(&self, call: usize, target: usize) -> f64 {
+    fn latency_ms(&self, call: usize, target: usize) -> f64 {
         let host = &self.hosts[self.calls[call].host];
         match host.data_centre == self.targets[target].data_centre {
-            true => NEAR_MS,
+            true => LOCAL_LATENCY_MS,
             false => self.pattern.fleet.crossing_ms,
         }
     }
 
-    /// A caller is refused: it comes back, if it does, when it was told to,
-    /// after a third of what it has left at most.
-    fn refused(&mut self, place: usize, retry_after_ms: Option<u64>) {
+    /// Handles the refusal of a caller's try. If it has retries left, it tries
+    /// again after `retry_after_ms`, but no later than after a third of its
+    /// remaining time; repeaters try again immediately.
+    fn on_refusal(&mut self, index: usize, retry_after_ms: Option<u64>) {
         let pattern = self.pattern;
-        let call = &mut self.calls[place];
+        let call = &mut self.calls[index];
         call.admission = None;
-        if call.events_got > 0 || call.retries_left == 0 {
+        if call.event_count > 0 || call.retries_left == 0 {
             call.ending = Some(Ending::Refused { tries: call.tries });
             return;
         }
         call.retries_left -= 1;
-        let timeout_ms = pattern.routes[call.asked.route].timeout_ms as f64;
-        let gone_ms = self.now_ms - call.asked.at_ms;
-        let most_ms = (timeout_ms - gone_ms).max(0.0) / 3.0;
-        let told_ms = retry_after_ms.unwrap_or(0) as f64;
-        let after_ms = match call.asked.is_repeater {
+        let timeout_ms = pattern.routes[call.request.route].timeout_ms as f64;
+        let elapsed_ms = self.now_ms - call.request.at_ms;
+        let max_ms = (timeout_ms - elapsed_ms).max(0.0) / 3.0;
+        let hint_ms = retry_after_ms.unwrap_or(0) as f64;
+        let after_ms = match call.request.is_repeater {
             true => 0.0,
-            false => told_ms.min(most_ms),
+            false => hint_ms.min(max_ms),
         };
-        let way_ms = 2.0 * pattern.fleet.caller_way_ms;
-        self.schedule(after_ms + way_ms, Event::Arrive(place));
+        let latency_ms = 2.0 * pattern.fleet.caller_way_ms;
+        self.schedule(after_ms + latency_ms, Event::CallerArrived(index));
     }
 
-    fn reach(&mut self, attempt: usize) {
+    fn on_attempt_received(&mut self, attempt: usize) {
         let Attempt { call, target, is_over, .. } = self.attempts[attempt];
         if is_over {
             return;
         }
         let call = &self.calls[call];
         let urgency = call.urgency;
-        let got = call.events_got;
+        let event_count = call.event_count;
         let stride = f64::from(self.pattern.engine.stride);
         let work = EngineRequest {
             attempt,
-            unread_tokens: call.asked.prompt_tokens + f64::from(got) * stride,
-            events_left: call.asked.events.saturating_sub(got).max(1),
+            unread_tokens: call.request.prompt_tokens
+                + f64::from(event_count) * stride,
+            events_left: call
+                .request
+                .events
+                .saturating_sub(event_count)
+                .max(1),
             urgency,
         };
         let host = &mut self.targets[target];
         if !host.is_up || !host.engine.enqueue(work) {
-            let back_ms = self.way_ms(self.attempts[attempt].call, target);
-            self.schedule(back_ms, Event::Fail(attempt, Outcome::Refused));
+            let back_ms = self.latency_ms(self.attempts[attempt].call, target);
+            self.schedule(
+                back_ms,
+                Event::AttemptFailed(attempt, Outcome::Refused),
+            );
             return;
         }
         self.begin_pass(target);
@@ -483,33 +535,37 @@
 
     fn begin_pass(&mut self, target: usize) {
         let host = &mut self.targets[target];
-        let life = host.life;
+        let incarnation = host.incarnation;
         if let Some(ms) = host.engine.begin_pass() {
-            self.schedule(ms, Event::PassEnd(target, life));
+            self.schedule(ms, Event::PassEnded(target, incarnation));
         }
     }
 
-    fn pass_end(&mut self, target: usize, life: u32) {
-        if self.targets[target].life != life {
+    fn on_pass_ended(&mut self, target: usize, incarnation: u32) {
+        if self.targets[target].incarnation != incarnation {
             return;
         }
         for written in self.targets[target].engine.end_pass() {
             let attempt = written.attempt;
-            let way_ms = self.way_ms(self.attempts[attempt].call, target);
+            let latency_ms =
+                self.latency_ms(self.attempts[attempt].call, target);
             let is_last = written.is_last;
-            self.schedule(way_ms, Event::Deliver { attempt, is_last });
+            self.schedule(
+                latency_ms,
+                Event::EventReceived { attempt, is_last },
+            );
         }
         self.begin_pass(target);
     }
 
-    fn deliver(&mut self, attempt: usize, is_last: bool) {
+    fn on_event_received(&mut self, attempt: usize, is_last: bool) {
         let now_ms = self.clock_ms();
         let known = &mut self.attempts[attempt];
         if known.is_over {
             return;
         }
-        let place = known.call;
-        let call = &mut self.calls[place];
+        let index = known.call;
+        let call = &mut self.calls[index];
         let gateway = &mut self.hosts[call.host].gateway;
         if let Some(admission) = call.admission.as_mut() {
             let id = target_id(known.target);
@@ -517,19 +573,20 @@
             gateway.note_begun(now_ms, admission, &id, took_ms);
         }
         let at_ms = self.now_ms + self.pattern.fleet.caller_way_ms;
-        call.got_event(at_ms);
-        let (tries, events) = (call.tries, call.events_got);
+        call.record_event(at_ms);
+        let (tries, events) = (call.tries, call.event_count);
         if is_last {
-            self.over(attempt, Outcome::Whole);
-            self.calls[place].ending = Some(Ending::Whole);
+            self.finish_attempt(attempt, Outcome::Whole);
+            self.calls[index].ending = Some(Ending::Whole);
         } else {
-            let silence = Event::LeaveIfSilent { call: place, tries, events };
-            self.schedule(SILENT_STREAM_MS, silence);
+            let silence = Event::LeaveIfSilent { call: index, tries, events };
+            self.schedule(STREAM_IDLE_TIMEOUT_MS, silence);
         }
     }
 
-    /// Counts an attempt back at its entry host.
-    fn over(&mut self, attempt: usize, outcome: Outcome) -> bool {
+    /// Reports the end of an attempt to its gateway. Returns whether the call
+    /// may be sent again.
+    fn finish_attempt(&mut self, attempt: usize, outcome: Outcome) -> bool {
         let now_ms = self.clock_ms();
         let known = &mut self.attempts[attempt];
         known.is_over = true;
@@ -542,38 +599,42 @@
         gateway.on_attempt_ended(now_ms, admission, &id, outcome)
     }
 
-    fn fail(&mut self, attempt: usize, outcome: Outcome) {
+    fn on_attempt_failed(&mut self, attempt: usize, outcome: Outcome) {
         if self.attempts[attempt].is_over {
             return;
         }
-        let place = self.attempts[attempt].call;
-        let tries = self.calls[place].tries;
-        if self.over(attempt, outcome) {
-            self.calls[place].goes_on();
-            self.look(place, tries);
+        let index = self.attempts[attempt].call;
+        let tries = self.calls[index].tries;
+        if self.finish_attempt(attempt, outcome) {
+            self.calls[index].prepare_resume();
+            self.find_target(index, tries);
         } else {
-            self.calls[place].ending = Some(Ending::Cut);
+            self.calls[index].ending = Some(Ending::Cut);
         }
     }
 
-    fn cut(&mut self, target: usize) {
+    fn cut_target(&mut self, target: usize) {
         let host = &mut self.targets[target];
         host.is_up = false;
         host.is_accepting = false;
-        host.life += 1;
+        host.incarnation += 1;
         let spec = self.pattern.engine.clone();
         let engine = std::mem::replace(&mut host.engine, Engine::new(spec));
-        self.tell(target, true);
+        self.send_report(target, true);
         for attempt in { engine }.clear() {
-            let way_ms = self.way_ms(self.attempts[attempt].call, target);
-            self.schedule(way_ms, Event::Fail(attempt, Outcome::Broken));
+            let latency_ms =
+                self.latency_ms(self.attempts[attempt].call, target);
+            self.schedule(
+                latency_ms,
+                Event::AttemptFailed(attempt, Outcome::Broken),
+            );
         }
     }
 
-    fn leave(&mut self, place: usize, tries: u32, events: u32) {
-        let call = &self.calls[place];
-        let is_silent = call.tries == tries && call.events_got == events;
-        // One that waits to come back is no longer there to leave.
+    fn leave_if_silent(&mut self, index: usize, tries: u32, events: u32) {
+        let call = &self.calls[index];
+        let is_silent = call.tries == tries && call.event_count == events;
+        // A call without an admission waits for its retry and cannot leave.
         let is_there = call.ending.is_none() && call.admission.is_some();
         if !is_silent || !is_there {
             return;
@@ -581,9 +642,9 @@
         if let Some(attempt) = call.attempt {
             let target = self.attempts[attempt].target;
             self.targets[target].engine.remove(attempt);
-            self.over(attempt, Outcome::Withdrawn);
+            self.finish_attempt(attempt, Outcome::Withdrawn);
         }
-        let call = &mut self.calls[place];
+        let call = &mut self.calls[index];
         if let Some(admission) = call.admission.as_mut() {
             self.hosts[call.host].gateway.stop_waiting(admission);
         }
@@ -591,21 +652,21 @@
     }
 }
 
-/// How long after the last arrival the model goes on, in seconds.
-const LAST_S: f64 = 10.0;
+/// The time that the simulation runs on after the last arrival, in seconds.
+const DRAIN_S: f64 = 10.0;
 
 impl Call {
-    fn new(asked: CallerRequest) -> Call {
+    fn new(request: CallerRequest) -> Call {
         Call {
-            retries_left: asked.retries,
-            asked,
+            retries_left: request.retries,
+            request,
             tries: 0,
             host: 0,
             admission: None,
             since_ms: 0,
             urgency: 0,
             attempt: None,
-            events_got: 0,
+            event_count: 0,
             first_event_ms: None,
             last_event_ms: 0.0,
             longest_pause_ms: 0.0,
@@ -613,8 +674,8 @@
         }
     }
 
-    /// Its stream broke off, and is to go on.
-    fn goes_on(&mut self) {
+    /// Prepares the admission for resuming a stream that broke off.
+    fn prepare_resume(&mut self) {
         let last_ms = (START_MS + self.last_event_ms) as u64;
         let has_event = self.first_event_ms.is_some();
         if let Some(admission) = self.admission.as_mut() {
@@ -622,8 +683,9 @@
         }
     }
 
-    fn got_event(&mut self, at_ms: f64) {
-        self.events_got += 1;
+    /// Records an event that reaches the caller at `at_ms`.
+    fn record_event(&mut self, at_ms: f64) {
+        self.event_count += 1;
         if self.first_event_ms.is_some() {
             let pause_ms = at_ms - self.last_event_ms;
             self.longest_pause_ms = self.longest_pause_ms.max(pause_ms);
@@ -632,31 +694,32 @@
         self.last_event_ms = at_ms;
     }
 
-    fn played(self, pattern: &Pattern) -> RequestResult {
-        let asked_ms = self.asked.at_ms - pattern.fleet.caller_way_ms;
+    fn into_result(self, pattern: &Pattern) -> RequestResult {
+        let start_ms = self.request.at_ms - pattern.fleet.caller_way_ms;
         RequestResult {
-            first_event_ms: self.first_event_ms.map(|at| at - asked_ms),
+            first_event_ms: self.first_event_ms.map(|at| at - start_ms),
             longest_pause_ms: self.longest_pause_ms,
             ending: self.ending.unwrap_or(Ending::CallerLeft),
-            asked: self.asked,
+            request: self.request,
         }
     }
 }
 
-/// The data centre of each thing, if `counts` stand in each.
-fn centres(counts: &[usize]) -> impl Iterator<Item = usize> + '_ {
+/// Returns the data centre of each host, given the number of hosts in each
+/// data centre.
+fn data_centre_of_each(counts: &[usize]) -> impl Iterator<Item = usize> + '_ {
     counts
         .iter()
         .enumerate()
         .flat_map(|(centre, count)| std::iter::repeat_n(centre, *count))
 }
 
-pub(super) fn centre_name(place: usize) -> Name {
-    Name::from(format!("dc-{place}"))
+pub(super) fn data_centre_name(index: usize) -> Name {
+    Name::from(format!("dc-{index}"))
 }
 
-pub(super) fn target_id(place: usize) -> Name {
-    Name::from(format!("target-{place:03}"))
+pub(super) fn target_id(index: usize) -> Name {
+    Name::from(format!("target-{index:03}"))
 }
 
 pub(super) fn address(target: usize) -> SocketAddr {
@@ -669,30 +732,30 @@
     data_centre: usize,
 ) -> Gateway {
     let mut gateway = Gateway::new(GatewayConfig {
-        data_centre: centre_name(data_centre),
+        data_centre: data_centre_name(data_centre),
         retries: RetryBound { ratio: 0.2, extra: 100.0 },
         version_ms: 0,
     });
     gateway.set_routing(routing(pattern));
-    for (place, target) in targets.iter().enumerate() {
+    for (index, target) in targets.iter().enumerate() {
         let stamp = Stamp::new(0, 1);
-        gateway.targets.put(spec(pattern, target, place, stamp));
+        gateway.targets.put(target_spec(pattern, target, index, stamp));
     }
     gateway
 }
 
-/// The entry of the target at a place.
-fn spec(
+/// Returns the entry of the target with the given index.
+fn target_spec(
     pattern: &Pattern,
     target: &TargetHost,
-    place: usize,
+    index: usize,
     stamp: Stamp,
 ) -> TargetSpec {
     TargetSpec {
-        id: target_id(place),
+        id: target_id(index),
         service: Name::from(SERVICE),
-        address: address(place),
-        data_centre: centre_name(target.data_centre),
+        address: address(index),
+        data_centre: data_centre_name(target.data_centre),
         slots: pattern.engine.slots as u32,
         is_draining: false,
         born_ms: None,
