--- a/crates/raildale-testkit/src/bench/capacity.rs
+++ b/crates/raildale-testkit/src/bench/capacity.rs
@@ -8,7 +8,7 @@
 
 use serde::Serialize;
 
-use super::{Serving, settings_text::CLUB_KEY};
+use super::{ServingFleet, settings_text::CLUB_KEY};
 use crate::{
     caller::{Callers, Plan, Tally},
     fleet::{Fleet, FleetConfig, Node},
@@ -77,7 +77,7 @@
 pub async fn run(config: &CapacityConfig) -> anyhow::Result<Vec<Point>> {
     let mut points = vec![];
     for (place, hosts) in config.hosts.iter().enumerate() {
-        let serving = Serving::start(
+        let serving = ServingFleet::start(
             FleetConfig::new(&config.program, config.entries, *hosts),
             MODEL_BYTES,
         )
--- a/crates/raildale-testkit/src/bench/mod.rs
+++ b/crates/raildale-testkit/src/bench/mod.rs
@@ -129,7 +129,7 @@
 
 /// A fleet that serves one version, seen by every entry host.
 #[derive(Debug)]
-pub struct Serving {
+pub struct ServingFleet {
     /// The fleet.
     pub fleet: Fleet,
     /// An operator of it.
@@ -138,7 +138,7 @@
     pub manifest: Manifest,
 }
 
-impl Serving {
+impl ServingFleet {
     /// Starts a fleet and brings a version of `model_bytes` to every host.
     ///
     /// # Errors
@@ -147,7 +147,7 @@
     pub async fn start(
         config: FleetConfig,
         model_bytes: usize,
-    ) -> anyhow::Result<Serving> {
+    ) -> anyhow::Result<ServingFleet> {
         let targets = config.hosts + 1;
         let chunk_bytes = config.chunk_bytes;
         let fleet = Fleet::start(config).await?;
@@ -164,7 +164,7 @@
         anyhow::ensure!(is_applied, "no entry host took the settings");
         let is_up = operator.all_see(&fleet, targets, COME_UP).await;
         anyhow::ensure!(is_up, "not every entry host sees all targets");
-        Ok(Serving { fleet, operator, manifest })
+        Ok(ServingFleet { fleet, operator, manifest })
     }
 }
 
--- a/crates/raildale-testkit/src/bench/rolling.rs
+++ b/crates/raildale-testkit/src/bench/rolling.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use super::{Serving, burst::plan, wait_until};
+use super::{ServingFleet, burst::plan, wait_until};
 use crate::{
     caller::{Callers, Tally},
     fleet::{Fleet, FleetConfig},
@@ -52,7 +52,7 @@
 ///
 /// If the fleet cannot be started or does not come up.
 pub async fn run(config: &RollingConfig) -> anyhow::Result<RollingReport> {
-    let Serving { mut fleet, operator, .. } = Serving::start(
+    let ServingFleet { mut fleet, operator, .. } = ServingFleet::start(
         FleetConfig::new(&config.program, config.entries, config.hosts),
         MODEL_BYTES,
     )
--- a/crates/raildale-testkit/src/bench/settings_race.rs
+++ b/crates/raildale-testkit/src/bench/settings_race.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use super::{Operator, Serving, settings_text::settings};
+use super::{Operator, ServingFleet, settings_text::settings};
 use crate::{
     fleet::{Fleet, FleetConfig},
     platform::Faults,
@@ -83,7 +83,7 @@
 ///
 /// If the fleet cannot be started or does not come up.
 pub async fn run(config: &RaceConfig) -> anyhow::Result<RaceReport> {
-    let Serving { fleet, operator, manifest } = Serving::start(
+    let ServingFleet { fleet, operator, manifest } = ServingFleet::start(
         FleetConfig::new(&config.program, config.entries, config.hosts),
         MODEL_BYTES,
     )
--- a/crates/raildale-testkit/tests/bad_input.rs
+++ b/crates/raildale-testkit/tests/bad_input.rs
@@ -13,7 +13,7 @@
     message::{Body, Frame},
 };
 use raildale_testkit::{
-    bench::{Serving, settings_text::CLUB_KEY},
+    bench::{ServingFleet, settings_text::CLUB_KEY},
     fleet::{BOOTSTRAP_KEY, FleetConfig},
 };
 use serde_json::Value;
@@ -182,7 +182,7 @@
 async fn bad_input_is_refused_by_number() {
     let program = env!("CARGO_BIN_EXE_raildale-bench");
     let config = FleetConfig::new(program, 1, 1);
-    let serving = Serving::start(config, 100).await.expect("it comes up");
+    let serving = ServingFleet::start(config, 100).await.expect("it comes up");
     let fleet = &serving.fleet;
     let address = fleet.http_addresses()[0];
     let http = HttpClient::new(None);
--- a/crates/raildale-testkit/tests/large_bodies.rs
+++ b/crates/raildale-testkit/tests/large_bodies.rs
@@ -9,7 +9,7 @@
 use raildale::http_client::HttpClient;
 use raildale_core::Code;
 use raildale_testkit::{
-    bench::{Serving, settings_text::CLUB_KEY},
+    bench::{ServingFleet, settings_text::CLUB_KEY},
     fleet::FleetConfig,
 };
 
@@ -34,7 +34,7 @@
 async fn a_large_body_gets_its_answer() {
     let program = env!("CARGO_BIN_EXE_raildale-bench");
     let config = FleetConfig::new(program, 1, 1);
-    let serving = Serving::start(config, 100).await.expect("it comes up");
+    let serving = ServingFleet::start(config, 100).await.expect("it comes up");
     let address = serving.fleet.http_addresses()[0];
     let http = HttpClient::new(None);
     let large = Bytes::from(vec![b'x'; BODY_BYTES]);
--- a/crates/raildale-testkit/tests/leaving.rs
+++ b/crates/raildale-testkit/tests/leaving.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use raildale_testkit::{
-    bench::{Serving, settings_text, wait_until},
+    bench::{ServingFleet, settings_text, wait_until},
     fleet::{BOOTSTRAP_KEY, FleetConfig},
 };
 use tokio::{
@@ -58,7 +58,8 @@
 async fn a_slow_reader_has_its_last_answer_whole() {
     let program = env!("CARGO_BIN_EXE_raildale-bench");
     let config = FleetConfig::new(program, 1, 1);
-    let mut serving = Serving::start(config, 100).await.expect("it comes up");
+    let mut serving =
+        ServingFleet::start(config, 100).await.expect("it comes up");
     let versions = [("v1", &serving.manifest)];
     let text = settings_text::settings("origin-bytes", "v1", &versions, "");
     let text = format!("{text}# {}\n", "x".repeat(PADDING_BYTES));
--- a/crates/raildale-testkit/tests/spans.rs
+++ b/crates/raildale-testkit/tests/spans.rs
@@ -7,7 +7,7 @@
 use hyper::Request;
 use raildale::http_client::HttpClient;
 use raildale_testkit::{
-    bench::{Serving, settings_text::CLUB_KEY, wait_until},
+    bench::{ServingFleet, settings_text::CLUB_KEY, wait_until},
     fleet::FleetConfig,
 };
 use serde_json::Value;
@@ -29,7 +29,7 @@
 async fn each_hop_writes_a_span_under_the_one_before() {
     let program = env!("CARGO_BIN_EXE_raildale-bench");
     let config = FleetConfig::new(program, 1, 1).with_spans();
-    let serving = Serving::start(config, 100).await.expect("it comes up");
+    let serving = ServingFleet::start(config, 100).await.expect("it comes up");
     let fleet = &serving.fleet;
     let address = fleet.http_addresses()[0];
     let request = Request::post(format!("http://{address}/v1/requests"))
