--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -206,7 +206,7 @@
         anyhow::ensure!(is_up, "the first version did not reach all hosts");
         let targets = self.config.hosts + 1;
         let all_know =
-            self.operator.all_see(self.fleet, targets, COME_UP).await;
+            self.operator.wait_for_targets(self.fleet, targets, COME_UP).await;
         anyhow::ensure!(all_know, "not every entry host sees all targets");
         Ok(())
     }
--- a/crates/raildale-testkit/src/bench/mod.rs
+++ b/crates/raildale-testkit/src/bench/mod.rs
@@ -85,7 +85,7 @@
     }
 
     /// Waits until every entry host sees `targets` targets that serve.
-    pub async fn all_see(
+    pub async fn wait_for_targets(
         &self,
         fleet: &Fleet,
         targets: usize,
@@ -162,7 +162,7 @@
         })
         .await;
         anyhow::ensure!(is_applied, "no entry host took the settings");
-        let is_up = operator.all_see(&fleet, targets, COME_UP).await;
+        let is_up = operator.wait_for_targets(&fleet, targets, COME_UP).await;
         anyhow::ensure!(is_up, "not every entry host sees all targets");
         Ok(ServingFleet { fleet, operator, manifest })
     }
--- a/crates/raildale-testkit/src/bench/rolling.rs
+++ b/crates/raildale-testkit/src/bench/rolling.rs
@@ -67,7 +67,7 @@
         report.stuck += u64::from(!gone(&mut fleet, true, index).await);
         fleet.restart_entry(index)?;
         report.replaced += 1;
-        operator.all_see(&fleet, targets, PATIENCE).await;
+        operator.wait_for_targets(&fleet, targets, PATIENCE).await;
         tokio::time::sleep(BETWEEN).await;
     }
     for index in 0..fleet.agents.len() {
@@ -75,7 +75,7 @@
         report.stuck += u64::from(!gone(&mut fleet, false, index).await);
         fleet.restart_agent(index)?;
         report.replaced += 1;
-        operator.all_see(&fleet, targets, PATIENCE).await;
+        operator.wait_for_targets(&fleet, targets, PATIENCE).await;
     }
     callers.stop().await;
     report.tally = Tally::new(&callers.sent(), &fleet.truth);
