--- a/crates/raildale-testkit/src/bench/mod.rs
+++ b/crates/raildale-testkit/src/bench/mod.rs
@@ -56,7 +56,7 @@
 
     /// Changes the settings through one entry host, on top of revision
     /// `expected`; returns what it answers.
-    pub async fn change(
+    pub async fn change_settings(
         &self,
         entry: usize,
         text: &str,
--- a/crates/raildale-testkit/src/bench/settings_race.rs
+++ b/crates/raildale-testkit/src/bench/settings_race.rs
@@ -146,8 +146,8 @@
             text(&self.manifest, 2 * round + 2),
         );
         let (one, other) = tokio::join!(
-            self.operator.change(0, &one, base, &ana),
-            self.operator.change(1, &other, base, &ben),
+            self.operator.change_settings(0, &one, base, &ana),
+            self.operator.change_settings(1, &other, base, &ben),
         );
         let newest = self.note(ana, one).max(self.note(ben, other));
         let accepted_at = Instant::now();
