--- a/crates/raildale-testkit/src/load/pattern.rs
+++ b/crates/raildale-testkit/src/load/pattern.rs
@@ -222,7 +222,7 @@
             (has_hosts, "entry_hosts must add up to more than 0"),
             (
                 has_equal_lengths,
-                "entry_hosts and targets must have one number for each data centre",
+                "entry_hosts and targets must have the same length",
             ),
             (
                 shares == 0 || shares == fleet.targets.len(),
