--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -1,4 +1,4 @@
-//! A burst: a new version reaches every host while requests flow.
+//! A burst: the rollout of a new version to every host under load.
 
 use std::{
     path::PathBuf,
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use super::{
-    COME_UP, Operator,
+    Operator, STARTUP_TIMEOUT,
     faults::{self, Fault},
     settings_text::{CLUB_KEY, GRID_KEY, origin_path, settings},
     wait_until,
@@ -21,93 +21,98 @@
     fleet::{Fleet, FleetConfig},
 };
 
-/// Bytes of the version that serves before the burst.
+/// The size of the version that is served before the burst, in bytes.
 const FIRST_BYTES: usize = 256 << 10;
 
-/// Chunks of a version, unless that makes them too small.
+/// The number of chunks of a version, unless they would be smaller than
+/// [`MIN_CHUNK_BYTES`].
 const CHUNKS: u64 = 256;
 
-/// Bytes of a chunk at least.
+/// The minimum size of a chunk, in bytes.
 const MIN_CHUNK_BYTES: u64 = 16 << 10;
 
-/// What all links of a fleet carry together at most, so that this machine,
-/// which plays them all, is not the bottleneck.
+/// The maximum rate of all links of a fleet together, so that the machine that
+/// runs all its hosts is not the bottleneck.
 const FLEET_BYTES_PER_S: u64 = 160 << 20;
 
-/// A host's link at most.
+/// The maximum rate of a host's link.
 const MAX_LINK_BYTES_PER_S: u64 = 4 << 20;
 
-/// How long requests flow before the burst.
-const BEFORE: Duration = Duration::from_secs(4);
+/// The period of load before the burst.
+const WARM_UP: Duration = Duration::from_secs(4);
 
-/// Requests a second.
+/// The request rate, per second.
 const REQUESTS_PER_S: f64 = 60.0;
 
-/// Time that a burst may take beyond that.
+/// The time that a burst may take in addition to [`MAX_RATIO`] times its
+/// floor.
 const GRACE: Duration = Duration::from_secs(15);
 
-/// A burst may take so many times its floor.
+/// The maximum duration of a burst, as a multiple of its floor.
 const MAX_RATIO: u32 = 4;
 
-/// What a burst is to be.
+/// The configuration of a burst.
 #[derive(Clone, Debug)]
 pub struct BurstConfig {
-    /// The program that starts as the product's processes.
+    /// The executable that runs the entry hosts and agents.
     pub program: PathBuf,
-    /// Hosts with a model engine.
+    /// The number of hosts with a model engine.
     pub hosts: usize,
-    /// The version's size.
+    /// The size of the new version, in bytes.
     pub model_bytes: u64,
-    /// `time` or `origin-bytes`.
+    /// The setting `favour`: `time` or `origin-bytes`.
     pub favour: String,
-    /// `swarm` or `origin`.
+    /// The distribution scheme: `swarm` or `origin`.
     pub scheme: String,
-    /// Seed of the weights' bytes and of the faults.
+    /// The seed of the versions' contents and of the faults.
     pub seed: u64,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub entries: usize,
-    /// Data centres.
+    /// The number of data centres.
     pub data_centres: usize,
-    /// A host's link; one that suits this machine if absent.
+    /// The rate of a host's link; if `None`, a rate that one machine can carry
+    /// for all hosts.
     pub link_bytes_per_s: Option<u64>,
     /// Lines added to `[link]` of each agent's settings file.
     pub link_extra: String,
-    /// What goes wrong meanwhile.
+    /// The faults injected during the burst.
     pub faults: Vec<Fault>,
-    /// Whether progress is shown.
+    /// Whether progress is printed to standard error.
     pub show: bool,
-    /// Whether logs are kept.
+    /// Whether the logs of the processes are kept.
     pub keep_logs: bool,
 }
 
-/// What a burst came to. Every figure is counted by stand-ins and callers.
+/// The results of a burst. Every figure is counted by the simulated engines,
+/// origin, links, platform and callers.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct BurstReport {
-    /// Hosts with a model engine that were not killed.
+    /// The number of hosts with a model engine that were not killed.
     pub hosts: u64,
-    /// Hosts that serve the new version.
+    /// The number of hosts that serve the new version.
     pub hosts_ready: u64,
-    /// From the accepted settings until the last host served it.
+    /// The time from the acceptance of the settings until the last host served
+    /// the new version.
     pub time_to_n_ms: f64,
-    /// The version's size over a host's link.
+    /// The time to transfer the new version over a host's link.
     pub floor_ms: f64,
-    /// The one over the other.
+    /// `time_to_n_ms` divided by `floor_ms`.
     pub time_ratio: f64,
-    /// Bytes that left the origin over the version's size.
+    /// The bytes that the origin sent, divided by the size of the version.
     pub origin_copies: f64,
-    /// Bytes between hosts of different data centres over the version's
-    /// size, for each data centre but the first.
+    /// The bytes sent between hosts of different data centres, divided by the
+    /// size of the version and by the number of data centres but one.
     pub crossing_copies: f64,
-    /// Answers from weights that were not whole.
+    /// The number of answers generated from incomplete weights.
     pub partial_served: u64,
-    /// What the requests came to.
+    /// The outcomes of the requests.
     #[serde(flatten)]
     pub tally: Tally,
-    /// Of urgent requests, before the burst.
+    /// The 99th percentile of the latency of urgent requests before the burst.
     pub p99_before_ms: f64,
-    /// Of urgent requests, during it.
+    /// The 99th percentile of the latency of urgent requests during the burst.
     pub p99_during_ms: f64,
-    /// Calls at the platform, over the whole run.
+    /// Calls to the platform per second, over the whole run.
     pub platform_calls_per_s: f64,
 }
 
@@ -115,7 +120,7 @@
 ///
 /// # Errors
 ///
-/// If the fleet cannot be started or does not come up.
+/// Returns an error if the fleet cannot be started or does not come up.
 pub async fn run(config: &BurstConfig) -> anyhow::Result<BurstReport> {
     let rate =
         config.link_bytes_per_s.unwrap_or_else(|| link_rate(config.hosts));
@@ -141,24 +146,25 @@
     burst.bring_up().await?;
     let callers = Callers::new(fleet.caller_ip(), fleet.http_addresses());
     callers.run(REQUESTS_PER_S, plan);
-    tokio::time::sleep(BEFORE).await;
+    tokio::time::sleep(WARM_UP).await;
     let began = burst.begin().await?;
     let floor =
         Duration::from_secs_f64(config.model_bytes as f64 / rate as f64);
-    burst.disturb(floor).await?;
-    burst.follow(began, floor).await;
+    burst.inject_faults(floor).await?;
+    burst.wait_until_ready(began, floor).await;
     let ended = Instant::now();
     callers.stop().await;
     let seconds = start.elapsed().as_secs_f64();
     let mut report = burst.report(began, floor);
     let sent = callers.sent();
     report.tally = Tally::new(&sent, &fleet.truth);
-    report.p99_before_ms = urgent_p99(&sent, began - BEFORE, began);
+    report.p99_before_ms = urgent_p99(&sent, began - WARM_UP, began);
     report.p99_during_ms = urgent_p99(&sent, began, ended);
     report.platform_calls_per_s = fleet.platform.calls() as f64 / seconds;
     Ok(report)
 }
 
+/// A running burst.
 struct Burst<'a> {
     config: &'a BurstConfig,
     fleet: &'a Fleet,
@@ -166,6 +172,7 @@
     chunk_bytes: u64,
     first: Manifest,
     second: Manifest,
+    /// The names of the hosts that were killed.
     killed: Vec<String>,
 }
 
@@ -191,26 +198,31 @@
         }
     }
 
-    /// Applies the first settings and waits until the first version serves.
+    /// Applies the first settings and waits until all hosts serve the first
+    /// version and all entry hosts know them.
     async fn bring_up(&self) -> anyhow::Result<()> {
-        let is_applied = wait_until(COME_UP, async || {
+        let is_applied = wait_until(STARTUP_TIMEOUT, async || {
             self.operator.apply(&self.settings("v1")).await.is_some()
         })
         .await;
-        anyhow::ensure!(is_applied, "no entry host took the settings");
+        anyhow::ensure!(is_applied, "no entry host accepted the settings");
         let digest = self.first.digest();
-        let is_up = wait_until(COME_UP, async || {
+        let is_up = wait_until(STARTUP_TIMEOUT, async || {
             self.fleet.ready(digest).len() == self.config.hosts
         })
         .await;
         anyhow::ensure!(is_up, "the first version did not reach all hosts");
         let targets = self.config.hosts + 1;
-        let all_know =
-            self.operator.wait_for_targets(self.fleet, targets, COME_UP).await;
-        anyhow::ensure!(all_know, "not every entry host sees all targets");
+        let all_seen = self
+            .operator
+            .wait_for_targets(self.fleet, targets, STARTUP_TIMEOUT)
+            .await;
+        anyhow::ensure!(all_seen, "not every entry host sees all targets");
         Ok(())
     }
 
+    /// Resets the counters and applies the settings with the new version.
+    /// Returns the time at which they were accepted.
     async fn begin(&self) -> anyhow::Result<Instant> {
         self.fleet.origin.reset_counts();
         self.fleet.links.reset_counts();
@@ -224,8 +236,8 @@
         settings(&self.config.favour, version, &versions, "")
     }
 
-    /// Lets happen what was asked for, after a part of the burst.
-    async fn disturb(&mut self, floor: Duration) -> anyhow::Result<()> {
+    /// Injects the configured faults, most of them after a part of the burst.
+    async fn inject_faults(&mut self, floor: Duration) -> anyhow::Result<()> {
         let has = |fault| self.config.faults.contains(&fault);
         if has(Fault::Corrupt) {
             faults::corrupt(self.fleet, self.chunk_bytes);
@@ -253,8 +265,8 @@
         Ok(())
     }
 
-    /// Other bytes under the same path and version name; the settings name
-    /// the new manifest.
+    /// Replaces the contents of the new version under the same path and name,
+    /// and applies settings with the new manifest.
     async fn replace(&mut self) -> anyhow::Result<()> {
         let bytes = self.config.model_bytes as usize;
         let seed = self.config.seed + 2;
@@ -264,7 +276,7 @@
         Ok(())
     }
 
-    /// When each surviving host first served the version.
+    /// Returns when each surviving host first served the new version.
     fn ready(&self) -> Vec<Instant> {
         self.fleet
             .truth
@@ -279,13 +291,15 @@
         self.config.hosts - self.killed.len()
     }
 
-    /// Waits until all hosts serve the new version, or too long.
-    async fn follow(&self, began: Instant, floor: Duration) {
-        let mut shown = Instant::now();
+    /// Waits until all surviving hosts serve the new version or the maximum
+    /// duration has passed.
+    async fn wait_until_ready(&self, began: Instant, floor: Duration) {
+        let mut shown_at = Instant::now();
         wait_until(floor * MAX_RATIO + GRACE, async || {
             let ready = self.ready().len();
-            if self.config.show && shown.elapsed() > Duration::from_secs(1) {
-                shown = Instant::now();
+            if self.config.show && shown_at.elapsed() > Duration::from_secs(1)
+            {
+                shown_at = Instant::now();
                 let copies = self.fleet.origin.bytes_sent() as f64
                     / self.config.model_bytes as f64;
                 let peers = self.fleet.links.peer_bytes() as f64
@@ -293,7 +307,7 @@
                         as f64;
                 eprintln!(
                     "{:5.1} s: {ready}/{} hosts ready, {:3.0}% of all bytes \
-                     moved, origin gave {copies:.2} copies",
+                     moved, origin sent {copies:.2} copies",
                     began.elapsed().as_secs_f64(),
                     self.config.hosts,
                     peers * 100.0,
@@ -328,12 +342,13 @@
     }
 }
 
-/// What a host's link carries in a fleet of this size.
+/// Returns the rate of a host's link in a fleet of `hosts` hosts, in bytes per
+/// second.
 fn link_rate(hosts: usize) -> u64 {
     (FLEET_BYTES_PER_S / hosts as u64).min(MAX_LINK_BYTES_PER_S)
 }
 
-/// Puts a version with random bytes at the origin.
+/// Stores a version with random contents at the origin. Returns its manifest.
 pub(super) fn publish(
     fleet: &Fleet,
     version: &str,
@@ -350,7 +365,8 @@
     manifest
 }
 
-/// A mix of classes, kinds and organisations.
+/// Returns the request with the given number, from a mix of priorities, kinds
+/// and organisations.
 pub(super) fn plan(number: u64) -> Plan {
     let is_plain = number % 6 == 5;
     let repeatable = number.is_multiple_of(2);
@@ -367,6 +383,8 @@
     }
 }
 
+/// Returns the 99th percentile of the latency of the urgent requests sent from
+/// `from` until `to`, in milliseconds.
 fn urgent_p99(sent: &[Sent], from: Instant, to: Instant) -> f64 {
     let urgent: Vec<&Sent> = sent
         .iter()
--- a/crates/raildale-testkit/src/bench/mod.rs
+++ b/crates/raildale-testkit/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments on real processes.
+//! Benchmarks on fleets of real processes.
 
 pub mod burst;
 pub mod capacity;
@@ -21,13 +21,13 @@
 
 use crate::fleet::{BOOTSTRAP_KEY, Fleet, FleetConfig};
 
-/// How long a fleet may take to come up.
-pub(crate) const COME_UP: Duration = Duration::from_secs(60);
+/// The maximum time for a fleet to come up.
+pub(crate) const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How often the bench looks for something that it waits for.
-const POLL: Duration = Duration::from_millis(10);
+/// The interval at which [`wait_until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// An operator of the fleet.
+/// A client of the admin API of a fleet.
 #[derive(Clone, Debug)]
 pub struct Operator {
     http: HttpClient,
@@ -35,13 +35,13 @@
 }
 
 impl Operator {
-    /// An operator who knows `entries`.
+    /// Returns an operator that calls the entry hosts at `entries`.
     pub fn new(entries: Vec<SocketAddr>) -> Operator {
         Operator { http: HttpClient::new(None), entries }
     }
 
-    /// Applies settings through any entry host that accepts them; returns
-    /// their revision.
+    /// Applies settings through the first entry host that accepts them.
+    /// Returns their revision; `None` if no entry host accepted them.
     pub async fn apply(&self, text: &str) -> Option<u64> {
         for address in &self.entries {
             let path = "/admin/v1/settings";
@@ -54,8 +54,9 @@
         None
     }
 
-    /// Changes the settings through one entry host, on top of revision
-    /// `expected`; returns what it answers.
+    /// Changes the settings through the entry host with index `entry`, on top
+    /// of revision `expected`, as the operation named `operation`. Returns the
+    /// JSON answer; `None` if there was none.
     pub async fn change_settings(
         &self,
         entry: usize,
@@ -84,7 +85,8 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Waits until every entry host sees `targets` targets that serve.
+    /// Waits until every entry host sees `targets` serving targets, for at
+    /// most `limit`. Returns whether that happened.
     pub async fn wait_for_targets(
         &self,
         fleet: &Fleet,
@@ -94,7 +96,7 @@
         let entries = fleet.http_addresses();
         wait_until(limit, async || {
             for address in &entries {
-                if self.serving(*address).await != Some(targets) {
+                if self.serving_target_count(*address).await != Some(targets) {
                     return false;
                 }
             }
@@ -103,8 +105,12 @@
         .await
     }
 
-    /// Targets that serve, as the entry host at `address` sees them.
-    async fn serving(&self, address: SocketAddr) -> Option<usize> {
+    /// Returns the number of serving targets that the entry host at `address`
+    /// sees; `None` if it did not answer.
+    async fn serving_target_count(
+        &self,
+        address: SocketAddr,
+    ) -> Option<usize> {
         let status = self.status(address).await?;
         let serves = |host: &&Value| {
             let is_live = host["leaving"] == false;
@@ -114,7 +120,8 @@
         Some(status["hosts"].as_array()?.iter().filter(serves).count())
     }
 
-    /// What the entry host at `address` knows.
+    /// Returns the status report of the entry host at `address`; `None` if it
+    /// did not answer.
     pub async fn status(&self, address: SocketAddr) -> Option<Value> {
         let url = format!("http://{address}/admin/v1/status");
         let request = Request::get(url)
@@ -127,23 +134,25 @@
     }
 }
 
-/// A fleet that serves one version, seen by every entry host.
+/// A running fleet whose hosts all serve one version, as every entry host
+/// knows.
 #[derive(Debug)]
 pub struct ServingFleet {
     /// The fleet.
     pub fleet: Fleet,
-    /// An operator of it.
+    /// An operator of the fleet.
     pub operator: Operator,
-    /// The version.
+    /// The manifest of the version.
     pub manifest: Manifest,
 }
 
 impl ServingFleet {
-    /// Starts a fleet and brings a version of `model_bytes` to every host.
+    /// Starts a fleet and waits until every host serves a version of
+    /// `model_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// If it cannot be started or does not come up.
+    /// Returns an error if the fleet cannot be started or does not come up.
     pub async fn start(
         config: FleetConfig,
         model_bytes: usize,
@@ -157,30 +166,31 @@
         let versions = [("v1", &manifest)];
         let text =
             settings_text::settings("origin-bytes", "v1", &versions, "");
-        let is_applied = wait_until(COME_UP, async || {
+        let is_applied = wait_until(STARTUP_TIMEOUT, async || {
             operator.apply(&text).await.is_some()
         })
         .await;
-        anyhow::ensure!(is_applied, "no entry host took the settings");
-        let is_up = operator.wait_for_targets(&fleet, targets, COME_UP).await;
+        anyhow::ensure!(is_applied, "no entry host accepted the settings");
+        let is_up =
+            operator.wait_for_targets(&fleet, targets, STARTUP_TIMEOUT).await;
         anyhow::ensure!(is_up, "not every entry host sees all targets");
         Ok(ServingFleet { fleet, operator, manifest })
     }
 }
 
-/// Waits until `is_so`, for at most `limit`; says whether it came.
+/// Waits until `condition` holds, for at most `limit`. Returns whether it did.
 pub async fn wait_until(
     limit: Duration,
-    mut is_so: impl AsyncFnMut() -> bool,
+    mut condition: impl AsyncFnMut() -> bool,
 ) -> bool {
     let start = Instant::now();
     loop {
-        if is_so().await {
+        if condition().await {
             return true;
         }
         if start.elapsed() >= limit {
             return false;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
