--- a/crates/raildale-testkit/src/bench/capacity.rs
+++ b/crates/raildale-testkit/src/bench/capacity.rs
@@ -1,8 +1,8 @@
-//! What processes cost: processor time, memory and control traffic, as
-//! slopes over hosts and over requests.
+//! Resource usage of processes: processor time, memory and control traffic,
+//! measured over the number of hosts and over the request rate.
 //!
-//! The kernel's own accounting of each process is read, and the relays count
-//! the bytes; the product is not asked.
+//! The figures come from the kernel's accounting of each process and from the
+//! byte counters of the simulated links, not from the measured processes.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -14,69 +14,69 @@
     fleet::{Fleet, FleetConfig, Node},
 };
 
-/// Ticks a second in the kernel's accounting.
+/// Clock ticks per second in the kernel's accounting.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Bytes of a page.
+/// The size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4096;
 
-/// How long it rests before it is measured.
-const SETTLE: Duration = Duration::from_secs(2);
+/// The time before a measurement in which the fleet reaches a steady state.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Bytes of the version that is served.
+/// The size of the served version, in bytes.
 const MODEL_BYTES: usize = 64 << 10;
 
-/// What is to be measured.
+/// The configuration of the measurements.
 #[derive(Clone, Debug)]
 pub struct CapacityConfig {
-    /// The program that starts as the product's processes.
+    /// The executable that runs the entry hosts and agents.
     pub program: PathBuf,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub entries: usize,
-    /// Sizes: hosts with an engine.
+    /// The fleet sizes to measure: numbers of hosts with an engine.
     pub hosts: Vec<usize>,
-    /// Loads: requests a second, at the smallest size.
+    /// The loads to measure at the first size, in requests per second.
     pub loads: Vec<u64>,
-    /// How long each is measured.
+    /// The duration of each measurement, in seconds.
     pub seconds: u64,
 }
 
-/// What one process of a role cost, on average over the role.
+/// The resource usage of a role's processes, on average per process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Cost {
-    /// Percent of a core.
+pub struct Usage {
+    /// Processor time, in percent of a core.
     pub cpu_percent: f64,
-    /// Resident memory.
+    /// Resident memory, in MiB.
     pub memory_mib: f64,
-    /// Bytes over its link, both ways.
+    /// Bytes per second over its link, in both directions.
     pub link_bytes_per_s: f64,
 }
 
-/// One point of a slope.
+/// A measurement at one fleet size and load.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
-    /// Hosts with an engine.
+    /// The number of hosts with an engine.
     pub hosts: usize,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub entries: usize,
-    /// Requests a second over all entry hosts.
+    /// Requests per second over all entry hosts.
     pub requests_per_s: f64,
-    /// An entry host's cost.
-    pub entry: Cost,
-    /// An agent's cost.
-    pub agent: Cost,
-    /// Calls at the platform.
+    /// The usage of an entry host.
+    pub entry: Usage,
+    /// The usage of an agent.
+    pub agent: Usage,
+    /// Calls to the platform per second.
     pub platform_calls_per_s: f64,
 }
 
-/// Measures all points.
+/// Measures all sizes without load, and the first size under each load.
 ///
 /// # Errors
 ///
-/// If a fleet cannot be started or does not come up.
+/// Returns an error if a fleet cannot be started or does not come up.
 pub async fn run(config: &CapacityConfig) -> anyhow::Result<Vec<Point>> {
     let mut points = vec![];
-    for (place, hosts) in config.hosts.iter().enumerate() {
+    for (index, hosts) in config.hosts.iter().enumerate() {
         let serving = ServingFleet::start(
             FleetConfig::new(&config.program, config.entries, *hosts),
             MODEL_BYTES,
@@ -84,7 +84,7 @@
         .await?;
         let fleet = &serving.fleet;
         points.push(measure(config, fleet, 0).await);
-        if place == 0 {
+        if index == 0 {
             for load in &config.loads {
                 points.push(measure(config, fleet, *load).await);
             }
@@ -93,100 +93,108 @@
     Ok(points)
 }
 
+/// Measures a fleet under `load` requests per second.
 async fn measure(config: &CapacityConfig, fleet: &Fleet, load: u64) -> Point {
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let callers = Callers::new(fleet.caller_ip(), fleet.http_addresses());
     if load > 0 {
         callers.run(load as f64, plan);
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(SETTLE_TIME).await;
     }
-    let before = Reading::new(fleet);
+    let before = Snapshot::new(fleet);
     let answered = callers.sent().len();
     tokio::time::sleep(Duration::from_secs(config.seconds)).await;
-    let after = Reading::new(fleet);
+    let after = Snapshot::new(fleet);
     let answered = callers.sent().len() - answered;
     callers.stop().await;
     let seconds = config.seconds as f64;
     let tally = Tally::new(&callers.sent(), &fleet.truth);
     if tally.requests_whole < tally.requests_sent {
-        eprintln!("at {load} requests/s not all were answered: {tally:?}");
+        eprintln!(
+            "not all requests were answered at {load} requests/s: {tally:?}"
+        );
     }
     Point {
         hosts: fleet.engines.len(),
         entries: fleet.entries.len(),
         requests_per_s: answered as f64 / seconds,
-        entry: before.cost(&after, &fleet.entries, seconds, 0),
-        agent: before.cost(&after, &fleet.agents, seconds, config.entries),
+        entry: before.usage(&after, &fleet.entries, seconds, 0),
+        agent: before.usage(&after, &fleet.agents, seconds, config.entries),
         platform_calls_per_s: (after.calls - before.calls) as f64 / seconds,
     }
 }
 
-/// The accounts of all processes at one moment: entry hosts, then agents.
-struct Reading {
-    accounts: Vec<Account>,
+/// The usage of all processes at one moment: entry hosts, then agents.
+struct Snapshot {
+    processes: Vec<ProcessUsage>,
     calls: u64,
 }
 
+/// The counters of a process since its start, and its current memory.
 #[derive(Clone, Copy, Default)]
-struct Account {
+struct ProcessUsage {
     ticks: u64,
     memory_bytes: u64,
     link_bytes: u64,
 }
 
-impl Reading {
-    fn new(fleet: &Fleet) -> Reading {
+impl Snapshot {
+    fn new(fleet: &Fleet) -> Snapshot {
         let nodes = fleet.entries.iter().chain(&fleet.agents);
-        Reading {
-            accounts: nodes.map(|node| account(fleet, node)).collect(),
+        Snapshot {
+            processes: nodes.map(|node| usage_of(fleet, node)).collect(),
             calls: fleet.platform.calls(),
         }
     }
 
-    fn cost(
+    /// Returns the average usage of `nodes` from this snapshot to `after`.
+    /// `first` is the index of the first node in the snapshots.
+    fn usage(
         &self,
-        after: &Reading,
+        after: &Snapshot,
         nodes: &[Node],
         seconds: f64,
         first: usize,
-    ) -> Cost {
-        let mut cost = Cost::default();
+    ) -> Usage {
+        let mut usage = Usage::default();
         let count = nodes.len().max(1) as f64;
-        for place in first..first + nodes.len() {
-            let (then, now) = (self.accounts[place], after.accounts[place]);
-            let ticks = now.ticks.saturating_sub(then.ticks) as f64;
-            let bytes = (now.link_bytes - then.link_bytes) as f64;
-            cost.cpu_percent += ticks / TICKS_PER_S / seconds * 100.0 / count;
-            cost.memory_mib +=
-                now.memory_bytes as f64 / f64::from(1 << 20) / count;
-            cost.link_bytes_per_s += bytes / seconds / count;
+        for index in first..first + nodes.len() {
+            let (old, new) = (self.processes[index], after.processes[index]);
+            let ticks = new.ticks.saturating_sub(old.ticks) as f64;
+            let bytes = (new.link_bytes - old.link_bytes) as f64;
+            usage.cpu_percent += ticks / TICKS_PER_S / seconds * 100.0 / count;
+            usage.memory_mib +=
+                new.memory_bytes as f64 / f64::from(1 << 20) / count;
+            usage.link_bytes_per_s += bytes / seconds / count;
         }
-        cost
+        usage
     }
 }
 
-fn account(fleet: &Fleet, node: &Node) -> Account {
-    let Some(pid) = node.pid() else { return Account::default() };
+/// Reads the usage of a process; zeros if it does not run.
+fn usage_of(fleet: &Fleet, node: &Node) -> ProcessUsage {
+    let Some(pid) = node.pid() else { return ProcessUsage::default() };
     let read = |name: &str| {
         std::fs::read_to_string(format!("/proc/{pid}/{name}"))
             .unwrap_or_default()
     };
-    let field = |text: &str, place: usize| {
+    let field = |text: &str, index: usize| {
         text.split_whitespace()
-            .nth(place)
+            .nth(index)
             .and_then(|word| word.parse::<u64>().ok())
             .unwrap_or(0)
     };
     let stat = read("stat");
-    // The process's name, in brackets, may hold spaces.
+    // The process's name, in parentheses, may contain spaces.
     let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
-    Account {
+    ProcessUsage {
         ticks: field(rest, 11) + field(rest, 12),
         memory_bytes: field(&read("statm"), 1) * PAGE_BYTES,
         link_bytes: fleet.links.bytes_of(node.ip),
     }
 }
 
+/// Returns the request with the given number.
 fn plan(number: u64) -> Plan {
     Plan {
         key: CLUB_KEY.to_string(),
