--- a/crates/raildale-testkit/src/bench/faults.rs
+++ b/crates/raildale-testkit/src/bench/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong during a burst, and when.
+//! Faults injected during a burst.
 
 use std::time::Duration;
 
@@ -9,32 +9,32 @@
     fleet::Fleet, links::LinkTable, platform::Faults as PlatformFaults,
 };
 
-/// One chunk in so many is corrupted.
+/// One in this many chunks is corrupted.
 const CORRUPT_ONE_CHUNK_IN: u64 = 200;
 
-/// A part of the hosts that is killed: one in so many.
+/// One in this many hosts is killed.
 const KILL_ONE_IN: usize = 10;
 
-/// A part of the hosts whose links stall: one in so many.
+/// One in this many hosts has its link stalled.
 const STALL_ONE_IN: usize = 20;
 
-/// How long a link stalls.
-const STALL: Duration = Duration::from_secs(3);
+/// The time for which a link is stalled.
+const STALL_DURATION: Duration = Duration::from_secs(3);
 
-/// Something that goes wrong.
+/// A fault that can be injected during a burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A tenth of the hosts is killed.
     Kills,
     /// The entry host that tracks the spread is killed.
     Owner,
-    /// Some hosts' links stall for a while.
+    /// The links of a twentieth of the hosts stall for some seconds.
     Stalls,
-    /// Chunks are corrupted on their way.
+    /// Some chunks are corrupted in transit.
     Corrupt,
     /// The version is replaced by other bytes under the same path.
     Replace,
-    /// The platform answers nothing until the end.
+    /// The platform stops answering until the end of the run.
     Outage,
 }
 
@@ -49,28 +49,28 @@
         Fault::Outage,
     ];
 
-    /// Reads a comma-separated list, or `all`.
+    /// Parses a comma-separated list of fault names, or `all`.
     ///
     /// # Errors
     ///
-    /// The word that is no fault.
+    /// Returns a message that names the first unknown fault.
     pub fn parse_list(text: &str) -> Result<Vec<Fault>, String> {
         if text == "all" {
             return Ok(Fault::ALL.to_vec());
         }
         text.split(',')
             .filter(|word| !word.is_empty())
-            .map(|word| {
+            .map(|name| {
                 Fault::ALL
                     .into_iter()
-                    .find(|fault| fault.word() == word)
-                    .ok_or(format!("no such fault: {word}"))
+                    .find(|fault| fault.name() == name)
+                    .ok_or(format!("no such fault: {name}"))
             })
             .collect()
     }
 
-    /// The word on the command line.
-    pub fn word(self) -> &'static str {
+    /// Returns the name on the command line.
+    pub fn name(self) -> &'static str {
         match self {
             Fault::Kills => "kills",
             Fault::Owner => "owner",
@@ -82,14 +82,14 @@
     }
 }
 
-/// Kills a tenth of the hosts; returns their names.
+/// Kills a tenth of the hosts. Returns their names.
 pub(super) fn kill_hosts(fleet: &Fleet, seed: u64) -> Vec<String> {
     let count = (fleet.engines.len() / KILL_ONE_IN).max(1);
     choose(fleet, count, seed)
         .into_iter()
-        .map(|place| {
-            fleet.agents[place].crash();
-            fleet.agents[place].name.clone()
+        .map(|index| {
+            fleet.agents[index].crash();
+            fleet.agents[index].name.clone()
         })
         .collect()
 }
@@ -108,31 +108,33 @@
     }
 }
 
-/// Stalls some hosts' links for a while.
+/// Stalls the links of a twentieth of the hosts, and returns when they work
+/// again.
 pub(super) async fn stall_links(fleet: &Fleet, seed: u64) {
     let count = (fleet.engines.len() / STALL_ONE_IN).max(1);
     let chosen = choose(fleet, count, seed + 1);
-    for place in &chosen {
-        fleet.links.set_stalled(fleet.agents[*place].ip, true);
+    for index in &chosen {
+        fleet.links.set_stalled(fleet.agents[*index].ip, true);
     }
-    tokio::time::sleep(STALL).await;
-    for place in &chosen {
-        fleet.links.set_stalled(fleet.agents[*place].ip, false);
+    tokio::time::sleep(STALL_DURATION).await;
+    for index in &chosen {
+        fleet.links.set_stalled(fleet.agents[*index].ip, false);
     }
 }
 
-/// Corrupts chunks from now on.
+/// Corrupts one in [`CORRUPT_ONE_CHUNK_IN`] chunks from now on.
 pub(super) fn corrupt(fleet: &Fleet, chunk_bytes: u64) {
     let pieces = LinkTable::pieces_of(chunk_bytes);
     fleet.links.set_corrupt_one_in(pieces * CORRUPT_ONE_CHUNK_IN);
 }
 
-/// The platform answers nothing from now on.
+/// Stops the platform from answering from now on.
 pub(super) fn outage(fleet: &Fleet) {
     let faults = PlatformFaults { is_down: true, ..PlatformFaults::default() };
     fleet.platform.set_faults(faults);
 }
 
+/// Draws `count` hosts. Returns their indices in the fleet.
 fn choose(fleet: &Fleet, count: usize, seed: u64) -> Vec<usize> {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..fleet.engines.len()).sample(&mut rng, count)
