--- a/crates/raildale-testkit/src/bench/settings_race.rs
+++ b/crates/raildale-testkit/src/bench/settings_race.rs
@@ -1,5 +1,6 @@
-//! Settings under racing operators: how soon a change is in force
-//! everywhere, and whether any is lost, doubled or taken back.
+//! Concurrent changes of the settings by two operators: the time until a
+//! change is in force everywhere, and whether any is lost, duplicated or
+//! reverted.
 
 use std::{
     collections::BTreeMap,
@@ -18,70 +19,74 @@
     platform::Faults,
 };
 
-/// How long a change may take to be in force.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The maximum time for a change to be in force everywhere.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two rounds of changes.
-const ROUND: Duration = Duration::from_secs(1);
+/// The minimum interval between two rounds of changes.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bytes of the version that is served.
+/// The size of the served version, in bytes.
 const MODEL_BYTES: usize = 64 << 10;
 
-/// One update in so many takes effect while its answer is lost.
+/// One in this many updates takes effect while its answer is lost.
 const LOSE_ANSWER_ONE_IN: u64 = 5;
 
-/// What is to be raced.
+/// The configuration of a race.
 #[derive(Clone, Debug)]
 pub struct RaceConfig {
-    /// The program that starts as the product's processes.
+    /// The executable that runs the entry hosts and agents.
     pub program: PathBuf,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub entries: usize,
-    /// Hosts with a model engine.
+    /// The number of hosts with a model engine.
     pub hosts: usize,
-    /// Rounds, in each of which two operators change the settings at once.
+    /// The number of rounds, in each of which two operators change the
+    /// settings concurrently.
     pub rounds: usize,
-    /// Whether answers of the platform are lost.
+    /// Whether some answers of the platform are lost.
     pub lose_answers: bool,
     /// Whether the platform is restored, after two thirds of the rounds, to
     /// what it held after one third.
     pub restores: bool,
 }
 
-/// What it came to.
+/// The results of a race.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RaceReport {
-    /// Changes that operators were told are accepted.
+    /// The number of changes answered as accepted.
     pub accepted: u64,
-    /// Changes refused as conflicts.
+    /// The number of changes refused as conflicts.
     pub conflicts: u64,
-    /// Changes whose outcome nobody could say.
+    /// The number of changes without an answer or with any other answer.
     pub unsettled: u64,
-    /// From the accepted change until every process had it, the worst of a
-    /// hundred.
+    /// The 99th percentile of the time from the answer to an accepted change
+    /// until every process had it.
     pub accept_to_everywhere_p99_ms: f64,
-    /// The same in the middle.
+    /// The median of the same time.
     pub accept_to_everywhere_p50_ms: f64,
-    /// Rounds after which not every process had the newest change in time.
+    /// The number of rounds in which not every process had the newest change
+    /// in time.
     pub late: u64,
-    /// Times that a process showed a lower revision than before.
+    /// The number of times that a process showed a lower revision than before.
     pub reverted: u64,
-    /// Accepted changes whose revision was not above all before.
+    /// The number of rounds whose accepted revision was not higher than all
+    /// before.
     pub reused: u64,
-    /// Accepted changes that the platform does not know and that no restore
-    /// has undone.
+    /// The number of recent accepted changes that the platform does not know
+    /// and that no restore has undone.
     pub lost_updates: u64,
-    /// Changes that the platform holds twice.
+    /// The number of recent accepted changes that the platform holds more than
+    /// once.
     pub doubled_writes: u64,
-    /// Calls at the platform.
+    /// Calls to the platform per second.
     pub platform_calls_per_s: f64,
 }
 
-/// Races two operators.
+/// Runs a race of two operators.
 ///
 /// # Errors
 ///
-/// If the fleet cannot be started or does not come up.
+/// Returns an error if the fleet cannot be started or does not come up.
 pub async fn run(config: &RaceConfig) -> anyhow::Result<RaceReport> {
     let ServingFleet { fleet, operator, manifest } = ServingFleet::start(
         FleetConfig::new(&config.program, config.entries, config.hosts),
@@ -98,20 +103,20 @@
         fleet: &fleet,
         operator,
         manifest,
-        seen: BTreeMap::new(),
+        revisions: BTreeMap::new(),
         accepted: vec![],
         newest: 0,
         lags: vec![],
         report: RaceReport::default(),
     };
     let (start, calls) = (Instant::now(), fleet.platform.calls());
-    let mut kept = None;
+    let mut saved = None;
     for round in 0..config.rounds {
         if config.restores && round == config.rounds / 3 {
-            kept = Some((fleet.platform.copy(), race.accepted.len()));
+            saved = Some((fleet.platform.copy(), race.accepted.len()));
         }
         if round == config.rounds * 2 / 3
-            && let Some((copy, accepted)) = kept.take()
+            && let Some((copy, accepted)) = saved.take()
         {
             fleet.platform.restore(copy);
             race.accepted.truncate(accepted);
@@ -124,19 +129,26 @@
     Ok(race.finish())
 }
 
+/// A running race.
 struct Race<'a> {
     fleet: &'a Fleet,
     operator: Operator,
     manifest: Manifest,
-    seen: BTreeMap<String, u64>,
+    /// The last revision that each process showed, by process.
+    revisions: BTreeMap<String, u64>,
+    /// The operations of the accepted changes that no restore has undone.
     accepted: Vec<String>,
-    /// The highest revision accepted.
+    /// The highest accepted revision.
     newest: u64,
+    /// The times from the answers to accepted changes until they were in force
+    /// everywhere, in milliseconds.
     lags: Vec<f64>,
     report: RaceReport,
 }
 
 impl Race<'_> {
+    /// Lets both operators change the settings, and waits until the accepted
+    /// change is in force everywhere.
     async fn round(&mut self, round: u64) {
         let start = Instant::now();
         let (ana, ben) = (format!("ana-{round}"), format!("ben-{round}"));
@@ -149,25 +161,32 @@
             self.operator.change_settings(0, &one, base, &ana),
             self.operator.change_settings(1, &other, base, &ben),
         );
-        let newest = self.note(ana, one).max(self.note(ben, other));
+        let newest =
+            self.record_answer(ana, one).max(self.record_answer(ben, other));
         let accepted_at = Instant::now();
         if newest > 0 {
             self.report.reused += u64::from(newest <= self.newest);
             self.newest = self.newest.max(newest);
             self.wait_for(newest, accepted_at).await;
         }
-        tokio::time::sleep(ROUND.saturating_sub(start.elapsed())).await;
+        tokio::time::sleep(ROUND_INTERVAL.saturating_sub(start.elapsed()))
+            .await;
     }
 
-    /// The revision of the settings that the platform holds.
+    /// Returns the revision of the settings that the platform holds.
     fn revision(&self) -> u64 {
         let object = self.fleet.platform.object(SETTINGS_KEY);
         let stored = serde_json::from_value::<StoredSettings>(object.value);
         stored.unwrap_or_default().revision(object.version)
     }
 
-    /// Notes an operator's answer; returns the revision accepted, or 0.
-    fn note(&mut self, operation: String, answer: Option<Value>) -> u64 {
+    /// Records the answer to an operator's change. Returns the accepted
+    /// revision, or 0.
+    fn record_answer(
+        &mut self,
+        operation: String,
+        answer: Option<Value>,
+    ) -> u64 {
         let code = answer.as_ref().and_then(|value| value["code"].as_u64());
         match code {
             Some(1001) => {
@@ -186,12 +205,14 @@
         }
     }
 
+    /// Waits until every process has `revision`, and records the time since
+    /// `since`.
     async fn wait_for(&mut self, revision: u64, since: Instant) {
         let is_everywhere = loop {
-            if self.lowest().await >= revision {
+            if self.lowest_revision().await >= revision {
                 break true;
             }
-            if since.elapsed() > PATIENCE {
+            if since.elapsed() > PROPAGATION_TIMEOUT {
                 break false;
             }
         };
@@ -199,26 +220,29 @@
         self.lags.push(since.elapsed().as_secs_f64() * 1000.0);
     }
 
-    /// The lowest revision in force, as the processes say themselves: each
-    /// entry host of itself, and of the agents what they reported to it.
-    async fn lowest(&mut self) -> u64 {
+    /// Returns the lowest revision in force, according to each entry host's
+    /// status, which covers itself and the agents that report to it. Returns 0
+    /// if an entry host does not answer.
+    async fn lowest_revision(&mut self) -> u64 {
         let mut lowest = u64::MAX;
         for address in self.fleet.http_addresses() {
             let Some(status) = self.operator.status(address).await else {
                 return 0;
             };
-            lowest = lowest.min(self.see(&address.to_string(), &status));
+            lowest = lowest
+                .min(self.record_revision(&address.to_string(), &status));
             for host in status["hosts"].as_array().into_iter().flatten() {
                 let name = format!("{address} {}", host["name"]);
-                lowest = lowest.min(self.see(&name, host));
+                lowest = lowest.min(self.record_revision(&name, host));
             }
         }
         lowest
     }
 
-    fn see(&mut self, name: &str, value: &Value) -> u64 {
+    /// Records and returns the revision that a process shows.
+    fn record_revision(&mut self, name: &str, value: &Value) -> u64 {
         let revision = value["revision"].as_u64().unwrap_or(0);
-        let before = self.seen.insert(name.to_string(), revision);
+        let before = self.revisions.insert(name.to_string(), revision);
         if before.is_some_and(|before| before > revision) {
             self.report.reverted += 1;
         }
@@ -233,16 +257,16 @@
             stored.operations.iter().filter(|o| *o == operation).count()
         };
         let recent = self.accepted.iter().rev().take(RECENT_OPERATIONS / 2);
-        let times: Vec<usize> = recent.map(count).collect();
-        let lost = times.iter().filter(|times| **times == 0).count();
+        let counts: Vec<usize> = recent.map(count).collect();
+        let lost = counts.iter().filter(|count| **count == 0).count();
         self.report.lost_updates = lost as u64;
-        let doubled = times.iter().filter(|times| **times > 1).count();
+        let doubled = counts.iter().filter(|count| **count > 1).count();
         self.report.doubled_writes = doubled as u64;
         self.lags.sort_by(f64::total_cmp);
         let at = |quantile: f64| {
             let last = self.lags.len().saturating_sub(1) as f64;
-            let place = (last * quantile).ceil() as usize;
-            self.lags.get(place).copied().unwrap_or(0.0)
+            let index = (last * quantile).ceil() as usize;
+            self.lags.get(index).copied().unwrap_or(0.0)
         };
         self.report.accept_to_everywhere_p50_ms = at(0.5);
         self.report.accept_to_everywhere_p99_ms = at(0.99);
@@ -250,6 +274,7 @@
     }
 }
 
+/// Returns settings that differ by `number`.
 fn text(manifest: &Manifest, number: u64) -> String {
     let extra = format!("deadline_ms = {}", 10_000 + number);
     settings("origin-bytes", "v1", &[("v1", manifest)], &extra)
