--- a/crates/raildale-testkit/src/bench/settings_text.rs
+++ b/crates/raildale-testkit/src/bench/settings_text.rs
@@ -1,21 +1,21 @@
-//! The settings that experiments apply.
+//! The settings that benchmarks apply.
 
 use raildale_core::{Digest, Manifest};
 
-/// The key of the first organisation's callers.
+/// The API key of the callers of the organisation `club`.
 pub const CLUB_KEY: &str = "club-key";
 
-/// The key of the second organisation's callers.
+/// The API key of the callers of the organisation `grid`.
 pub const GRID_KEY: &str = "grid-key";
 
-/// The path of a version at the origin.
+/// Returns the path of a version at the origin.
 pub fn origin_path(version: &str) -> String {
     format!("commentary/{version}")
 }
 
-/// Settings with two organisations: `club` with the model `commentary` on
-/// the pool of engines, `grid` with a model on the same pool that shares its
-/// bytes, and a plain service.
+/// Returns settings with two organisations: `club` with the model `commentary`
+/// on the pool `workers`, in `version`, and `grid` with the plain service
+/// `tickets` on the pool `plain`. `extra` is added to the `[rules]` table.
 pub fn settings(
     favour: &str,
     version: &str,
