--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -17,7 +17,7 @@
     wait_until,
 };
 use crate::{
-    caller::{Callers, Plan, Sent, Tally, quantile_ms},
+    caller::{Callers, RequestSpec, Sent, Tally, quantile_ms},
     fleet::{Fleet, FleetConfig},
 };
 
@@ -367,10 +367,10 @@
 
 /// Returns the request with the given number, from a mix of priorities, kinds
 /// and organisations.
-pub(super) fn plan(number: u64) -> Plan {
+pub(super) fn plan(number: u64) -> RequestSpec {
     let is_plain = number % 6 == 5;
     let repeatable = number.is_multiple_of(2);
-    Plan {
+    RequestSpec {
         key: if is_plain { GRID_KEY } else { CLUB_KEY }.to_string(),
         model: if is_plain { "tickets" } else { "commentary" }.to_string(),
         priority: ["urgent", "normal", "bulk"][(number % 3) as usize],
--- a/crates/raildale-testkit/src/bench/capacity.rs
+++ b/crates/raildale-testkit/src/bench/capacity.rs
@@ -10,7 +10,7 @@
 
 use super::{ServingFleet, settings_text::CLUB_KEY};
 use crate::{
-    caller::{Callers, Plan, Tally},
+    caller::{Callers, RequestSpec, Tally},
     fleet::{Fleet, FleetConfig, Node},
 };
 
@@ -195,8 +195,8 @@
 }
 
 /// Returns the request with the given number.
-fn plan(number: u64) -> Plan {
-    Plan {
+fn plan(number: u64) -> RequestSpec {
+    RequestSpec {
         key: CLUB_KEY.to_string(),
         model: "commentary".to_string(),
         priority: "normal",
--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -22,7 +22,7 @@
 
 /// What a caller sends.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct RequestSpec {
     /// The organisation's key.
     pub key: String,
     /// The model's name.
@@ -121,7 +121,7 @@
     pub fn run(
         self: &Arc<Self>,
         per_s: f64,
-        plan: impl Fn(u64) -> Plan + Send + 'static,
+        plan: impl Fn(u64) -> RequestSpec + Send + 'static,
     ) {
         let callers = self.clone();
         tokio::spawn(async move {
@@ -152,7 +152,7 @@
     }
 
     /// Sends one request and judges its answer.
-    pub async fn one(&self, plan: Plan) -> Sent {
+    pub async fn one(&self, plan: RequestSpec) -> Sent {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         let number = self.next_mark.fetch_add(1, Ordering::Relaxed);
         let mark = format!("m{number}");
@@ -174,7 +174,11 @@
         sent
     }
 
-    async fn exchange(&self, plan: &Plan, prompt: &str) -> (Ending, u64) {
+    async fn exchange(
+        &self,
+        plan: &RequestSpec,
+        prompt: &str,
+    ) -> (Ending, u64) {
         let run_key = match plan.holds_key {
             true => match self.fetch_key(plan).await {
                 Some(key) => Some(key),
@@ -202,7 +206,7 @@
         self.submit(plan, &body, prompt).await
     }
 
-    async fn fetch_key(&self, plan: &Plan) -> Option<String> {
+    async fn fetch_key(&self, plan: &RequestSpec) -> Option<String> {
         let body = json!({ "model": plan.model });
         let (_, value) = self.post("/v1/run-keys", plan, &body).await.ok()?;
         value.last()?["run_key"].as_str().map(str::to_string)
@@ -210,7 +214,7 @@
 
     async fn submit(
         &self,
-        plan: &Plan,
+        plan: &RequestSpec,
         body: &Value,
         prompt: &str,
     ) -> (Ending, u64) {
@@ -229,7 +233,7 @@
     async fn post(
         &self,
         path: &str,
-        plan: &Plan,
+        plan: &RequestSpec,
         body: &Value,
     ) -> Result<(bool, Vec<Value>), NotAnswered> {
         let mut not_sent = 0;
@@ -263,7 +267,7 @@
         &self,
         address: SocketAddr,
         path: &str,
-        plan: &Plan,
+        plan: &RequestSpec,
         body: &Value,
     ) -> Result<Posted, NotAnswered> {
         let request = Request::post(format!("http://{address}{path}"))
