--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -17,7 +17,7 @@
     wait_until,
 };
 use crate::{
-    caller::{Callers, RequestSpec, Sent, Tally, quantile_ms},
+    caller::{Callers, RequestSpec, SentRequest, Tally, quantile_ms},
     fleet::{Fleet, FleetConfig},
 };
 
@@ -385,8 +385,8 @@
 
 /// Returns the 99th percentile of the latency of the urgent requests sent from
 /// `from` until `to`, in milliseconds.
-fn urgent_p99(sent: &[Sent], from: Instant, to: Instant) -> f64 {
-    let urgent: Vec<&Sent> = sent
+fn urgent_p99(sent: &[SentRequest], from: Instant, to: Instant) -> f64 {
+    let urgent: Vec<&SentRequest> = sent
         .iter()
         .filter(|request| request.priority == "urgent")
         .filter(|request| request.at >= from && request.at < to)
--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -63,7 +63,7 @@
 
 /// A request that was sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     /// The mark in its prompt.
     pub mark: String,
     /// The organisation's key.
@@ -88,7 +88,7 @@
     http: HttpClient,
     seeds: Vec<SocketAddr>,
     known: Mutex<Known>,
-    sent: Mutex<Vec<Sent>>,
+    sent: Mutex<Vec<SentRequest>>,
     next_mark: AtomicU64,
     in_flight: AtomicU64,
     is_stopped: AtomicBool,
@@ -147,19 +147,19 @@
     }
 
     /// The requests so far that have their last word.
-    pub fn sent(&self) -> Vec<Sent> {
+    pub fn sent(&self) -> Vec<SentRequest> {
         lock(&self.sent).clone()
     }
 
     /// Sends one request and judges its answer.
-    pub async fn one(&self, plan: RequestSpec) -> Sent {
+    pub async fn one(&self, plan: RequestSpec) -> SentRequest {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         let number = self.next_mark.fetch_add(1, Ordering::Relaxed);
         let mark = format!("m{number}");
         let prompt = format!("{mark} {}", plan.text);
         let at = Instant::now();
         let (ending, code) = self.exchange(&plan, &prompt).await;
-        let sent = Sent {
+        let sent = SentRequest {
             mark,
             key: plan.key,
             priority: plan.priority,
@@ -433,7 +433,7 @@
 
 impl Tally {
     /// Counts endings, and real runs by the targets' own record.
-    pub fn new(sent: &[Sent], truth: &Truth) -> Tally {
+    pub fn new(sent: &[SentRequest], truth: &Truth) -> Tally {
         let mut tally = Tally::default();
         for request in sent {
             let runs = truth.runs_of(&request.mark);
@@ -462,7 +462,7 @@
 }
 
 /// The quantile of how long requests took, in milliseconds.
-pub fn quantile_ms(sent: &[&Sent], quantile: f64) -> f64 {
+pub fn quantile_ms(sent: &[&SentRequest], quantile: f64) -> f64 {
     let mut times: Vec<Duration> =
         sent.iter().map(|request| request.took).collect();
     times.sort_unstable();
