--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -58,7 +58,7 @@
     /// Another request's answer.
     Crossed,
     /// Ended as cut, and said so.
-    SaidCut,
+    ReportedCut,
 }
 
 /// A request that was sent.
@@ -403,7 +403,7 @@
         (1000, _) if answer == expected => Ending::Whole,
         (1000, _) if expected.starts_with(&answer) => Ending::Cut,
         (1000, _) => Ending::Crossed,
-        (4001, _) => Ending::SaidCut,
+        (4001, _) => Ending::ReportedCut,
         (_, Some("not run")) => Ending::NotRun,
         _ => Ending::Unknown,
     };
@@ -441,7 +441,7 @@
             match request.ending {
                 Ending::Whole => tally.requests_whole += 1,
                 Ending::NotRun => tally.requests_not_run += 1,
-                Ending::Unknown | Ending::SaidCut => {
+                Ending::Unknown | Ending::ReportedCut => {
                     tally.requests_unknown += 1;
                 }
                 Ending::Cut => tally.requests_cut += 1,
