--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -54,7 +54,7 @@
     /// Nobody knows.
     Unknown,
     /// Presented as whole, and is not.
-    Cut,
+    UnreportedCut,
     /// Another request's answer.
     Crossed,
     /// Ended as cut, and said so.
@@ -401,7 +401,7 @@
     let answer = format!("{pieces}{whole}");
     let ending = match (code, last["ran"].as_str()) {
         (1000, _) if answer == expected => Ending::Whole,
-        (1000, _) if expected.starts_with(&answer) => Ending::Cut,
+        (1000, _) if expected.starts_with(&answer) => Ending::UnreportedCut,
         (1000, _) => Ending::Crossed,
         (4001, _) => Ending::ReportedCut,
         (_, Some("not run")) => Ending::NotRun,
@@ -444,7 +444,7 @@
                 Ending::Unknown | Ending::ReportedCut => {
                     tally.requests_unknown += 1;
                 }
-                Ending::Cut => tally.requests_cut += 1,
+                Ending::UnreportedCut => tally.requests_cut += 1,
                 Ending::Crossed => tally.requests_crossed += 1,
             }
             if !request.repeatable && runs > 1 {
