--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -375,7 +375,7 @@
         model: if is_plain { "tickets" } else { "commentary" }.to_string(),
         priority: ["urgent", "normal", "bulk"][(number % 3) as usize],
         repeatable,
-        holds_key: number % 4 == 1,
+        has_run_key: number % 4 == 1,
         stream: number.is_multiple_of(5),
         max_tokens: 12,
         deadline_ms: 5_000,
--- a/crates/raildale-testkit/src/bench/capacity.rs
+++ b/crates/raildale-testkit/src/bench/capacity.rs
@@ -201,7 +201,7 @@
         model: "commentary".to_string(),
         priority: "normal",
         repeatable: true,
-        holds_key: false,
+        has_run_key: false,
         stream: false,
         max_tokens: 8,
         deadline_ms: 5_000,
--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -33,7 +33,7 @@
     pub repeatable: bool,
     /// Whether a key is fetched first and the request sent again under it
     /// when its outcome is unknown.
-    pub holds_key: bool,
+    pub has_run_key: bool,
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Tokens wanted.
@@ -179,7 +179,7 @@
         plan: &RequestSpec,
         prompt: &str,
     ) -> (Ending, u64) {
-        let run_key = match plan.holds_key {
+        let run_key = match plan.has_run_key {
             true => match self.fetch_key(plan).await {
                 Some(key) => Some(key),
                 None => return (Ending::NotRun, 0),
