--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -133,7 +133,7 @@
                 let plan = plan(number);
                 number += 1;
                 let callers = callers.clone();
-                tokio::spawn(async move { callers.one(plan).await });
+                tokio::spawn(async move { callers.send(plan).await });
             }
         });
     }
@@ -152,7 +152,7 @@
     }
 
     /// Sends one request and judges its answer.
-    pub async fn one(&self, plan: RequestSpec) -> SentRequest {
+    pub async fn send(&self, plan: RequestSpec) -> SentRequest {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         let number = self.next_mark.fetch_add(1, Ordering::Relaxed);
         let mark = format!("m{number}");
