--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -156,7 +156,7 @@
     callers.stop().await;
     let seconds = start.elapsed().as_secs_f64();
     let mut report = burst.report(began, floor);
-    let sent = callers.sent();
+    let sent = callers.finished();
     report.tally = Tally::new(&sent, &fleet.truth);
     report.p99_before_ms = urgent_p99(&sent, began - WARM_UP, began);
     report.p99_during_ms = urgent_p99(&sent, began, ended);
--- a/crates/raildale-testkit/src/bench/capacity.rs
+++ b/crates/raildale-testkit/src/bench/capacity.rs
@@ -102,13 +102,13 @@
         tokio::time::sleep(SETTLE_TIME).await;
     }
     let before = Snapshot::new(fleet);
-    let answered = callers.sent().len();
+    let answered = callers.finished().len();
     tokio::time::sleep(Duration::from_secs(config.seconds)).await;
     let after = Snapshot::new(fleet);
-    let answered = callers.sent().len() - answered;
+    let answered = callers.finished().len() - answered;
     callers.stop().await;
     let seconds = config.seconds as f64;
-    let tally = Tally::new(&callers.sent(), &fleet.truth);
+    let tally = Tally::new(&callers.finished(), &fleet.truth);
     if tally.requests_whole < tally.requests_sent {
         eprintln!(
             "not all requests were answered at {load} requests/s: {tally:?}"
--- a/crates/raildale-testkit/src/bench/rolling.rs
+++ b/crates/raildale-testkit/src/bench/rolling.rs
@@ -81,7 +81,7 @@
         operator.wait_for_targets(&fleet, targets, STEP_TIMEOUT).await;
     }
     callers.stop().await;
-    report.tally = Tally::new(&callers.sent(), &fleet.truth);
+    report.tally = Tally::new(&callers.finished(), &fleet.truth);
     Ok(report)
 }
 
--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -147,7 +147,7 @@
     }
 
     /// The requests so far that have their last word.
-    pub fn sent(&self) -> Vec<SentRequest> {
+    pub fn finished(&self) -> Vec<SentRequest> {
         lock(&self.sent).clone()
     }
 
