--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -75,7 +75,7 @@
     /// When.
     pub at: Instant,
     /// How long it took.
-    pub took: Duration,
+    pub latency: Duration,
     /// How it ended.
     pub ending: Ending,
     /// The code of the last word; 0 if there was none.
@@ -165,7 +165,7 @@
             priority: plan.priority,
             repeatable: plan.repeatable,
             at,
-            took: at.elapsed(),
+            latency: at.elapsed(),
             ending,
             code,
         };
@@ -464,7 +464,7 @@
 /// The quantile of how long requests took, in milliseconds.
 pub fn quantile_ms(sent: &[&SentRequest], quantile: f64) -> f64 {
     let mut times: Vec<Duration> =
-        sent.iter().map(|request| request.took).collect();
+        sent.iter().map(|request| request.latency).collect();
     times.sort_unstable();
     if times.is_empty() {
         return 0.0;
