--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -17,7 +17,7 @@
     wait_until,
 };
 use crate::{
-    caller::{Callers, RequestSpec, SentRequest, Tally, quantile_ms},
+    caller::{Callers, RequestSpec, SentRequest, Tally, latency_quantile_ms},
     fleet::{Fleet, FleetConfig},
 };
 
@@ -391,5 +391,5 @@
         .filter(|request| request.priority == "urgent")
         .filter(|request| request.at >= from && request.at < to)
         .collect();
-    quantile_ms(&urgent, 0.99)
+    latency_quantile_ms(&urgent, 0.99)
 }
--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -462,7 +462,7 @@
 }
 
 /// The quantile of how long requests took, in milliseconds.
-pub fn quantile_ms(sent: &[&SentRequest], quantile: f64) -> f64 {
+pub fn latency_quantile_ms(sent: &[&SentRequest], quantile: f64) -> f64 {
     let mut times: Vec<Duration> =
         sent.iter().map(|request| request.latency).collect();
     times.sort_unstable();
