--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct SentRequest {
     /// The mark in its prompt.
-    pub mark: String,
+    pub request_id: String,
     /// The organisation's key.
     pub key: String,
     /// The class.
@@ -155,12 +155,12 @@
     pub async fn send(&self, plan: RequestSpec) -> SentRequest {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         let number = self.next_mark.fetch_add(1, Ordering::Relaxed);
-        let mark = format!("m{number}");
-        let prompt = format!("{mark} {}", plan.text);
+        let request_id = format!("m{number}");
+        let prompt = format!("{request_id} {}", plan.text);
         let at = Instant::now();
         let (ending, code) = self.exchange(&plan, &prompt).await;
         let sent = SentRequest {
-            mark,
+            request_id,
             key: plan.key,
             priority: plan.priority,
             repeatable: plan.repeatable,
@@ -436,7 +436,7 @@
     pub fn new(sent: &[SentRequest], truth: &Truth) -> Tally {
         let mut tally = Tally::default();
         for request in sent {
-            let runs = truth.runs_of(&request.mark);
+            let runs = truth.runs_of(&request.request_id);
             tally.requests_sent += 1;
             match request.ending {
                 Ending::Whole => tally.requests_whole += 1,
--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     http_server::{self, Body, answer},
-    truth::{Truth, lock, mark, token},
+    truth::{Truth, lock, request_id, token},
 };
 
 /// How an engine works.
@@ -209,7 +209,7 @@
             state.running += 1;
             self.prefill(&mut state, &request)
         };
-        self.truth.ran(mark(&request.prompt));
+        self.truth.ran(request_id(&request.prompt));
         let (tx, rx) = mpsc::channel(4);
         let run = Run { engine: self.clone() };
         tokio::spawn(run.stream(request, prefill, tx));
--- a/crates/raildale-testkit/src/plain.rs
+++ b/crates/raildale-testkit/src/plain.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     http_server::{self, answer},
-    truth::{Truth, expected_answer, mark},
+    truth::{Truth, expected_answer, request_id},
 };
 
 /// Starts a service at `address` whose calls take `time` each.
@@ -31,7 +31,7 @@
             let Some(call) = call.ok().filter(|_| is_call) else {
                 return answer(StatusCode::NOT_FOUND, "");
             };
-            truth.ran(mark(&call.prompt));
+            truth.ran(request_id(&call.prompt));
             tokio::time::sleep(time).await;
             let text = expected_answer(&call.prompt, call.max_tokens);
             answer(StatusCode::OK, text)
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -63,13 +63,13 @@
     }
 
     /// A target started to run the request with this mark.
-    pub fn ran(&self, mark: &str) {
-        *lock(&self.runs).entry(mark.to_string()).or_default() += 1;
+    pub fn ran(&self, request_id: &str) {
+        *lock(&self.runs).entry(request_id.to_string()).or_default() += 1;
     }
 
     /// How often the request with this mark ran.
-    pub fn runs_of(&self, mark: &str) -> u64 {
-        lock(&self.runs).get(mark).copied().unwrap_or(0)
+    pub fn runs_of(&self, request_id: &str) -> u64 {
+        lock(&self.runs).get(request_id).copied().unwrap_or(0)
     }
 
     /// An engine began to serve a version.
@@ -106,6 +106,6 @@
 }
 
 /// The mark in a prompt that tells requests apart: its first word.
-pub fn mark(prompt: &str) -> &str {
+pub fn request_id(prompt: &str) -> &str {
     prompt.split(' ').next().unwrap_or("")
 }
