--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -15,7 +15,7 @@
 use raildale::http_client::HttpClient;
 use serde_json::{Value, json};
 
-use crate::truth::{Truth, expected_answer, lock};
+use crate::truth::{GroundTruth, expected_answer, lock};
 
 /// How long a caller waits beyond its deadline for the last word.
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -433,7 +433,7 @@
 
 impl Tally {
     /// Counts endings, and real runs by the targets' own record.
-    pub fn new(sent: &[SentRequest], truth: &Truth) -> Tally {
+    pub fn new(sent: &[SentRequest], truth: &GroundTruth) -> Tally {
         let mut tally = Tally::default();
         for request in sent {
             let runs = truth.runs_of(&request.request_id);
--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     http_server::{self, Body, answer},
-    truth::{Truth, lock, request_id, token},
+    truth::{GroundTruth, lock, request_id, token},
 };
 
 /// How an engine works.
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Engine {
     config: EngineConfig,
-    truth: Arc<Truth>,
+    truth: Arc<GroundTruth>,
     state: Mutex<State>,
 }
 
@@ -84,7 +84,7 @@
     pub async fn start(
         address: SocketAddr,
         config: EngineConfig,
-        truth: Arc<Truth>,
+        truth: Arc<GroundTruth>,
     ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind(address).await?;
         let state = Mutex::default();
--- a/crates/raildale-testkit/src/fleet.rs
+++ b/crates/raildale-testkit/src/fleet.rs
@@ -24,7 +24,7 @@
     origin::Origin,
     plain,
     platform::Platform,
-    truth::Truth,
+    truth::GroundTruth,
 };
 
 /// The key that may write the first settings.
@@ -123,7 +123,7 @@
     /// The links.
     pub links: Arc<LinkTable>,
     /// What really happened.
-    pub truth: Arc<Truth>,
+    pub truth: Arc<GroundTruth>,
     /// The origin.
     pub origin: Arc<Origin>,
     /// The platform.
@@ -153,7 +153,7 @@
         let mut fleet = Fleet {
             origin: Origin::start(origin_at, links.clone()).await?,
             platform: Platform::start(platform_at).await?,
-            truth: Truth::new(),
+            truth: GroundTruth::new(),
             folder: TempDir::new()?,
             links,
             net,
--- a/crates/raildale-testkit/src/plain.rs
+++ b/crates/raildale-testkit/src/plain.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     http_server::{self, answer},
-    truth::{Truth, expected_answer, request_id},
+    truth::{GroundTruth, expected_answer, request_id},
 };
 
 /// Starts a service at `address` whose calls take `time` each.
@@ -19,7 +19,7 @@
 pub async fn start(
     address: SocketAddr,
     time: Duration,
-    truth: Arc<Truth>,
+    truth: Arc<GroundTruth>,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     http_server::serve(listener, move |_, request| {
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -13,7 +13,7 @@
 
 /// A shared record of what really happened.
 #[derive(Debug, Default)]
-pub struct Truth {
+pub struct GroundTruth {
     manifests: Mutex<HashMap<Digest, Manifest>>,
     runs: Mutex<HashMap<String, u64>>,
     active: Mutex<BTreeMap<Activation, Instant>>,
@@ -29,9 +29,9 @@
     pub manifest: Digest,
 }
 
-impl Truth {
+impl GroundTruth {
     /// A record of nothing.
-    pub fn new() -> Arc<Truth> {
+    pub fn new() -> Arc<GroundTruth> {
         Arc::default()
     }
 
