--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -204,7 +204,7 @@
             }
             let slot = state.slots.get(&manifest).map_or(&[][..], |s| s);
             if !self.truth.is_whole(manifest, slot) {
-                self.truth.served_partial();
+                self.truth.record_partial_answer();
             }
             state.running += 1;
             self.prefill(&mut state, &request)
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -53,7 +53,7 @@
     }
 
     /// An engine answered from weights that were not whole.
-    pub fn served_partial(&self) {
+    pub fn record_partial_answer(&self) {
         self.partial_served.fetch_add(1, Ordering::Relaxed);
     }
 
