--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -336,7 +336,7 @@
             crossing_copies: self.fleet.links.crossing_bytes() as f64
                 / size
                 / further,
-            partial_served: self.fleet.truth.partial_served(),
+            partial_served: self.fleet.truth.partial_answers(),
             ..BurstReport::default()
         }
     }
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -58,7 +58,7 @@
     }
 
     /// Answers from weights that were not whole.
-    pub fn partial_served(&self) -> u64 {
+    pub fn partial_answers(&self) -> u64 {
         self.partial_served.load(Ordering::Relaxed)
     }
 
