--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -209,7 +209,7 @@
             state.running += 1;
             self.prefill(&mut state, &request)
         };
-        self.truth.ran(request_id(&request.prompt));
+        self.truth.record_run(request_id(&request.prompt));
         let (tx, rx) = mpsc::channel(4);
         let run = Run { engine: self.clone() };
         tokio::spawn(run.stream(request, prefill, tx));
--- a/crates/raildale-testkit/src/plain.rs
+++ b/crates/raildale-testkit/src/plain.rs
@@ -31,7 +31,7 @@
             let Some(call) = call.ok().filter(|_| is_call) else {
                 return answer(StatusCode::NOT_FOUND, "");
             };
-            truth.ran(request_id(&call.prompt));
+            truth.record_run(request_id(&call.prompt));
             tokio::time::sleep(time).await;
             let text = expected_answer(&call.prompt, call.max_tokens);
             answer(StatusCode::OK, text)
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -63,7 +63,7 @@
     }
 
     /// A target started to run the request with this mark.
-    pub fn ran(&self, request_id: &str) {
+    pub fn record_run(&self, request_id: &str) {
         *lock(&self.runs).entry(request_id.to_string()).or_default() += 1;
     }
 
