--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -436,7 +436,7 @@
     pub fn new(sent: &[SentRequest], truth: &GroundTruth) -> Tally {
         let mut tally = Tally::default();
         for request in sent {
-            let runs = truth.runs_of(&request.request_id);
+            let runs = truth.run_count(&request.request_id);
             tally.requests_sent += 1;
             match request.ending {
                 Ending::Whole => tally.requests_whole += 1,
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -68,7 +68,7 @@
     }
 
     /// How often the request with this mark ran.
-    pub fn runs_of(&self, request_id: &str) -> u64 {
+    pub fn run_count(&self, request_id: &str) -> u64 {
         lock(&self.runs).get(request_id).copied().unwrap_or(0)
     }
 
