--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -171,7 +171,7 @@
         state.fences.insert(model.to_string(), fence.max(highest));
         state.active.insert(model.to_string(), manifest);
         drop(state);
-        self.truth.activated(&self.config.host, manifest);
+        self.truth.record_activation(&self.config.host, manifest);
         answer(StatusCode::OK, "")
     }
 
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -73,7 +73,7 @@
     }
 
     /// An engine began to serve a version.
-    pub fn activated(&self, host: &str, manifest: Digest) {
+    pub fn record_activation(&self, host: &str, manifest: Digest) {
         let activation = Activation { host: host.to_string(), manifest };
         lock(&self.active).entry(activation).or_insert_with(Instant::now);
     }
