--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -280,7 +280,7 @@
     fn ready(&self) -> Vec<Instant> {
         self.fleet
             .truth
-            .ready(self.second.digest())
+            .activation_times(self.second.digest())
             .into_iter()
             .filter(|(host, _)| !self.killed.contains(host))
             .map(|(_, at)| at)
--- a/crates/raildale-testkit/src/fleet.rs
+++ b/crates/raildale-testkit/src/fleet.rs
@@ -193,7 +193,11 @@
 
     /// When each engine that serves `manifest` first did.
     pub fn ready(&self, manifest: Digest) -> Vec<std::time::Instant> {
-        self.truth.ready(manifest).into_iter().map(|(_, at)| at).collect()
+        self.truth
+            .activation_times(manifest)
+            .into_iter()
+            .map(|(_, at)| at)
+            .collect()
     }
 
     async fn add_entries(&mut self) -> io::Result<()> {
--- a/crates/raildale-testkit/src/truth.rs
+++ b/crates/raildale-testkit/src/truth.rs
@@ -79,7 +79,10 @@
     }
 
     /// When each host first served `manifest`.
-    pub fn ready(&self, manifest: Digest) -> Vec<(String, Instant)> {
+    pub fn activation_times(
+        &self,
+        manifest: Digest,
+    ) -> Vec<(String, Instant)> {
         lock(&self.active)
             .iter()
             .filter(|(activation, _)| activation.manifest == manifest)
