--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -208,7 +208,7 @@
         anyhow::ensure!(is_applied, "no entry host accepted the settings");
         let digest = self.first.digest();
         let is_up = wait_until(STARTUP_TIMEOUT, async || {
-            self.fleet.ready(digest).len() == self.config.hosts
+            self.fleet.activation_times(digest).len() == self.config.hosts
         })
         .await;
         anyhow::ensure!(is_up, "the first version did not reach all hosts");
--- a/crates/raildale-testkit/src/fleet.rs
+++ b/crates/raildale-testkit/src/fleet.rs
@@ -192,7 +192,10 @@
     }
 
     /// When each engine that serves `manifest` first did.
-    pub fn ready(&self, manifest: Digest) -> Vec<std::time::Instant> {
+    pub fn activation_times(
+        &self,
+        manifest: Digest,
+    ) -> Vec<std::time::Instant> {
         self.truth
             .activation_times(manifest)
             .into_iter()
