--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -133,7 +133,7 @@
         link_bytes_per_s: rate,
         chunk_bytes,
         scheme: config.scheme.clone(),
-        unchecked_one_in: 4,
+        unfenced_one_in: 4,
         spans: false,
         link_extra: config.link_extra.clone(),
     })
--- a/crates/raildale-testkit/src/fleet.rs
+++ b/crates/raildale-testkit/src/fleet.rs
@@ -64,7 +64,7 @@
     /// How chunks are found, as agents' settings name it.
     pub scheme: String,
     /// Every n-th engine checks no fence; 0 none.
-    pub unchecked_one_in: usize,
+    pub unfenced_one_in: usize,
     /// Whether processes write a span for each hop.
     pub spans: bool,
     /// Lines added to `[link]` of each agent.
@@ -87,7 +87,7 @@
             link_bytes_per_s: QUICK_LINK_BYTES_PER_S,
             chunk_bytes: QUICK_CHUNK_BYTES,
             scheme: "swarm".into(),
-            unchecked_one_in: 4,
+            unfenced_one_in: 4,
             spans: false,
             link_extra: String::new(),
         }
@@ -235,7 +235,7 @@
             plain::start(target, PLAIN_CALL, self.truth.clone()).await?;
         } else {
             let mut config = EngineConfig::new(&name);
-            let one_in = self.config.unchecked_one_in;
+            let one_in = self.config.unfenced_one_in;
             config.checks_fences =
                 one_in == 0 || !index.is_multiple_of(one_in);
             let truth = self.truth.clone();
