--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -64,7 +64,7 @@
     fences: HashMap<String, (u64, u64)>,
     running: usize,
     prefixes: VecDeque<String>,
-    freed: Option<Instant>,
+    last_run_ended: Option<Instant>,
 }
 
 /// The stand-in.
@@ -102,8 +102,8 @@
     }
 
     /// When a run last ended or was cancelled.
-    pub fn freed(&self) -> Option<Instant> {
-        lock(&self.state).freed
+    pub fn last_run_ended(&self) -> Option<Instant> {
+        lock(&self.state).last_run_ended
     }
 
     /// What it serves for `model`.
@@ -270,7 +270,7 @@
     fn drop(&mut self) {
         let mut state = lock(&self.engine.state);
         state.running -= 1;
-        state.freed = Some(Instant::now());
+        state.last_run_ended = Some(Instant::now());
     }
 }
 
