--- a/crates/raildale-testkit/src/links.rs
+++ b/crates/raildale-testkit/src/links.rs
@@ -124,7 +124,7 @@
     }
 
     /// Waits until `bytes` have passed from one link to the other.
-    pub async fn pass(&self, from: IpAddr, to: IpAddr, bytes: usize) {
+    pub async fn transfer(&self, from: IpAddr, to: IpAddr, bytes: usize) {
         let (source, sink) = (self.link(from), self.link(to));
         loop {
             let is_stalled = [&source, &sink]
@@ -198,7 +198,7 @@
             if count == 0 {
                 return;
             }
-            self.pass(from, to, count).await;
+            self.transfer(from, to, count).await;
             self.maybe_corrupt(&mut buffer[..count]);
             if write.write_all(&buffer[..count]).await.is_err() {
                 return;
--- a/crates/raildale-testkit/src/origin.rs
+++ b/crates/raildale-testkit/src/origin.rs
@@ -130,7 +130,7 @@
                     return None;
                 }
                 let piece = data.split_to(data.len().min(PIECE_BYTES));
-                origin.links.pass(origin.ip, to, piece.len()).await;
+                origin.links.transfer(origin.ip, to, piece.len()).await;
                 let bytes = piece.len() as u64;
                 origin.bytes_sent.fetch_add(bytes, Ordering::Relaxed);
                 Some((Ok(Frame::data(piece)), data))
