--- a/crates/raildale-testkit/src/bench/faults.rs
+++ b/crates/raildale-testkit/src/bench/faults.rs
@@ -124,7 +124,7 @@
 
 /// Corrupts one in [`CORRUPT_ONE_CHUNK_IN`] chunks from now on.
 pub(super) fn corrupt(fleet: &Fleet, chunk_bytes: u64) {
-    let pieces = LinkTable::pieces_of(chunk_bytes);
+    let pieces = LinkTable::piece_count(chunk_bytes);
     fleet.links.set_corrupt_one_in(pieces * CORRUPT_ONE_CHUNK_IN);
 }
 
--- a/crates/raildale-testkit/src/links.rs
+++ b/crates/raildale-testkit/src/links.rs
@@ -119,7 +119,7 @@
     }
 
     /// Pieces that a chunk takes, for [`LinkTable::set_corrupt_one_in`].
-    pub fn pieces_of(bytes: u64) -> u64 {
+    pub fn piece_count(bytes: u64) -> u64 {
         bytes.div_ceil(PIECE_BYTES as u64)
     }
 
