--- a/crates/raildale-testkit/src/bench/capacity.rs
+++ b/crates/raildale-testkit/src/bench/capacity.rs
@@ -190,7 +190,7 @@
     ProcessUsage {
         ticks: field(rest, 11) + field(rest, 12),
         memory_bytes: field(&read("statm"), 1) * PAGE_BYTES,
-        link_bytes: fleet.links.bytes_of(node.ip),
+        link_bytes: fleet.links.link_bytes(node.ip),
     }
 }
 
--- a/crates/raildale-testkit/src/links.rs
+++ b/crates/raildale-testkit/src/links.rs
@@ -108,7 +108,7 @@
     }
 
     /// Bytes over one link, both ways.
-    pub fn bytes_of(&self, ip: IpAddr) -> u64 {
+    pub fn link_bytes(&self, ip: IpAddr) -> u64 {
         self.link(ip).map_or(0, |link| link.bytes.load(Ordering::Relaxed))
     }
 
