--- a/crates/raildale-testkit/src/platform.rs
+++ b/crates/raildale-testkit/src/platform.rs
@@ -50,7 +50,7 @@
 
 /// What the platform held at one time.
 #[derive(Clone, Debug)]
-pub struct PlatformCopy {
+pub struct PlatformSnapshot {
     objects: HashMap<String, Stored>,
 }
 
@@ -105,13 +105,13 @@
     }
 
     /// What it holds now.
-    pub fn copy(&self) -> PlatformCopy {
-        PlatformCopy { objects: lock(&self.objects).clone() }
+    pub fn copy(&self) -> PlatformSnapshot {
+        PlatformSnapshot { objects: lock(&self.objects).clone() }
     }
 
     /// Comes back from a copy: what was written since is gone, and versions
     /// are given out again.
-    pub fn restore(&self, copy: PlatformCopy) {
+    pub fn restore(&self, copy: PlatformSnapshot) {
         *lock(&self.objects) = copy.objects;
         self.changed.notify_waiters();
     }
