--- a/crates/raildale-testkit/src/bench/settings_race.rs
+++ b/crates/raildale-testkit/src/bench/settings_race.rs
@@ -113,7 +113,7 @@
     let mut saved = None;
     for round in 0..config.rounds {
         if config.restores && round == config.rounds / 3 {
-            saved = Some((fleet.platform.copy(), race.accepted.len()));
+            saved = Some((fleet.platform.snapshot(), race.accepted.len()));
         }
         if round == config.rounds * 2 / 3
             && let Some((copy, accepted)) = saved.take()
--- a/crates/raildale-testkit/src/platform.rs
+++ b/crates/raildale-testkit/src/platform.rs
@@ -105,7 +105,7 @@
     }
 
     /// What it holds now.
-    pub fn copy(&self) -> PlatformSnapshot {
+    pub fn snapshot(&self) -> PlatformSnapshot {
         PlatformSnapshot { objects: lock(&self.objects).clone() }
     }
 
