--- a/crates/raildale-testkit/src/platform.rs
+++ b/crates/raildale-testkit/src/platform.rs
@@ -122,7 +122,7 @@
     }
 
     /// Calls in the busiest second.
-    pub fn most_calls_per_s(&self) -> u64 {
+    pub fn max_calls_per_s(&self) -> u64 {
         lock(&self.busiest).most
     }
 
