--- a/crates/raildale-testkit/src/http_server.rs
+++ b/crates/raildale-testkit/src/http_server.rs
@@ -65,7 +65,7 @@
 }
 
 /// The value of `name` in a query string.
-pub fn query<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
+pub fn query_value<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
         (key == name).then_some(value)
--- a/crates/raildale-testkit/src/platform.rs
+++ b/crates/raildale-testkit/src/platform.rs
@@ -18,7 +18,7 @@
 use tokio::{net::TcpListener, sync::Notify};
 
 use crate::{
-    http_server::{self, Body, answer, query},
+    http_server::{self, Body, answer, query_value},
     truth::lock,
 };
 
@@ -171,7 +171,8 @@
         words: Option<&str>,
         faults: &Faults,
     ) -> Response<Body> {
-        let number = |name| query(words, name).and_then(|v| v.parse().ok());
+        let number =
+            |name| query_value(words, name).and_then(|v| v.parse().ok());
         if let Some(after) = number("after") {
             let wait = Duration::from_millis(number("wait_ms").unwrap_or(0));
             self.wait_above(key, after, wait).await;
@@ -222,7 +223,7 @@
             return answer(StatusCode::BAD_REQUEST, "");
         };
         let condition =
-            query(words, "if_version").and_then(|v| v.parse().ok());
+            query_value(words, "if_version").and_then(|v| v.parse().ok());
         let Some(version) = self.update(key, condition, value) else {
             return answer(StatusCode::CONFLICT, "");
         };
