--- a/crates/raildale-testkit/src/bench/burst.rs
+++ b/crates/raildale-testkit/src/bench/burst.rs
@@ -389,7 +389,7 @@
     let urgent: Vec<&SentRequest> = sent
         .iter()
         .filter(|request| request.priority == "urgent")
-        .filter(|request| request.at >= from && request.at < to)
+        .filter(|request| request.sent_at >= from && request.sent_at < to)
         .collect();
     latency_quantile_ms(&urgent, 0.99)
 }
--- a/crates/raildale-testkit/src/caller.rs
+++ b/crates/raildale-testkit/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: they ask where to go, send requests, and judge the answers.
+//! Simulated callers, which discover the entry hosts, send requests and check
+//! the answers.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -17,128 +18,134 @@
 
 use crate::truth::{GroundTruth, expected_answer, lock};
 
-/// How long a caller waits beyond its deadline for the last word.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// The time that a caller waits for an answer after its deadline.
+const ANSWER_GRACE: Duration = Duration::from_secs(3);
 
-/// What a caller sends.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// The organisation's key.
+    /// The organisation's API key.
     pub key: String,
-    /// The model's name.
+    /// The name of the model.
     pub model: String,
-    /// The class.
+    /// The priority class.
     pub priority: &'static str,
-    /// Whether the request may run twice.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether a key is fetched first and the request sent again under it
-    /// when its outcome is unknown.
+    /// Whether the caller fetches a run key first, and sends the request again
+    /// under it if the outcome is unknown.
     pub has_run_key: bool,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Tokens wanted.
+    /// The number of tokens to generate.
     pub max_tokens: u32,
-    /// How long it waits.
+    /// The deadline of the request, in milliseconds from its start.
     pub deadline_ms: u64,
-    /// The prompt's text after its mark.
+    /// The text of the prompt after the request id.
     pub text: String,
 }
 
-/// How a request ended, as its caller saw it.
+/// The outcome of a request, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// A whole answer, and the right one.
+    /// The whole and correct answer.
     Whole,
-    /// Refused, and said not to have run.
+    /// Not sent, or refused as not run.
     NotRun,
-    /// Nobody knows.
+    /// Unknown: the answer was lost, or does not state whether the request
+    /// ran.
     Unknown,
-    /// Presented as whole, and is not.
+    /// A truncated answer that was reported as whole.
     UnreportedCut,
-    /// Another request's answer.
+    /// A wrong answer, such as another request's.
     Crossed,
-    /// Ended as cut, and said so.
+    /// A truncated answer that was reported as such.
     ReportedCut,
 }
 
-/// A request that was sent.
+/// A request that has ended.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// The mark in its prompt.
+    /// The request id in its prompt.
     pub request_id: String,
-    /// The organisation's key.
+    /// The organisation's API key.
     pub key: String,
-    /// The class.
+    /// The priority class.
     pub priority: &'static str,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub repeatable: bool,
-    /// When.
-    pub at: Instant,
-    /// How long it took.
+    /// When the caller began to send it.
+    pub sent_at: Instant,
+    /// The time until it ended.
     pub latency: Duration,
-    /// How it ended.
+    /// The outcome.
     pub ending: Ending,
-    /// The code of the last word; 0 if there was none.
+    /// The code at the end of the answer; 0 if there was none.
     pub code: u64,
 }
 
-/// A group of callers that share what they know.
+/// A group of callers that share the list of entry hosts.
 #[derive(Debug)]
 pub struct Callers {
     http: HttpClient,
     seeds: Vec<SocketAddr>,
-    known: Mutex<Known>,
-    sent: Mutex<Vec<SentRequest>>,
-    next_mark: AtomicU64,
+    entry_hosts: Mutex<EntryHosts>,
+    finished: Mutex<Vec<SentRequest>>,
+    next_id: AtomicU64,
     in_flight: AtomicU64,
     is_stopped: AtomicBool,
 }
 
+/// The entry hosts that discovery returned.
 #[derive(Debug)]
-struct Known {
+struct EntryHosts {
     addresses: Vec<SocketAddr>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl Callers {
-    /// Callers at `ip` who know the entry hosts `seeds` to begin with.
+    /// Returns callers that send from `ip` and discover entry hosts through
+    /// `seeds`.
     pub fn new(ip: IpAddr, seeds: Vec<SocketAddr>) -> Arc<Callers> {
         Arc::new(Callers {
             http: HttpClient::new(Some(ip)),
-            known: Mutex::new(Known {
+            entry_hosts: Mutex::new(EntryHosts {
                 addresses: seeds.clone(),
-                until: Instant::now(),
+                expires_at: Instant::now(),
             }),
             seeds,
-            sent: Mutex::default(),
-            next_mark: AtomicU64::new(1),
+            finished: Mutex::default(),
+            next_id: AtomicU64::new(1),
             in_flight: AtomicU64::new(0),
             is_stopped: AtomicBool::new(false),
         })
     }
 
-    /// Sends requests at a rate until stopped; `plan` makes the n-th.
+    /// Sends `per_s` requests per second in the background until
+    /// [`Callers::stop`]. `spec` returns the request with a given number,
+    /// counted from 0.
     pub fn run(
         self: &Arc<Self>,
         per_s: f64,
-        plan: impl Fn(u64) -> RequestSpec + Send + 'static,
+        spec: impl Fn(u64) -> RequestSpec + Send + 'static,
     ) {
         let callers = self.clone();
         tokio::spawn(async move {
-            let gap = Duration::from_secs_f64(1.0 / per_s);
-            let mut tick = tokio::time::interval(gap);
+            let interval = Duration::from_secs_f64(1.0 / per_s);
+            let mut tick = tokio::time::interval(interval);
             let mut number = 0;
             while !callers.is_stopped.load(Ordering::Relaxed) {
                 tick.tick().await;
-                let plan = plan(number);
+                let spec = spec(number);
                 number += 1;
                 let callers = callers.clone();
-                tokio::spawn(async move { callers.send(plan).await });
+                tokio::spawn(async move { callers.send(spec).await });
             }
         });
     }
 
-    /// Sends no more requests and waits for the last words.
+    /// Stops [`Callers::run`] and waits until all requests in flight have
+    /// ended.
     pub async fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
         while self.in_flight.load(Ordering::Relaxed) > 0 {
@@ -146,116 +153,119 @@
         }
     }
 
-    /// The requests so far that have their last word.
+    /// Returns the requests that have ended, in the order of their ends.
     pub fn finished(&self) -> Vec<SentRequest> {
-        lock(&self.sent).clone()
+        lock(&self.finished).clone()
     }
 
-    /// Sends one request and judges its answer.
-    pub async fn send(&self, plan: RequestSpec) -> SentRequest {
+    /// Sends a request and checks its answer.
+    pub async fn send(&self, spec: RequestSpec) -> SentRequest {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        let number = self.next_mark.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let request_id = format!("m{number}");
-        let prompt = format!("{request_id} {}", plan.text);
-        let at = Instant::now();
-        let (ending, code) = self.exchange(&plan, &prompt).await;
-        let sent = SentRequest {
+        let prompt = format!("{request_id} {}", spec.text);
+        let sent_at = Instant::now();
+        let (ending, code) = self.exchange(&spec, &prompt).await;
+        let request = SentRequest {
             request_id,
-            key: plan.key,
-            priority: plan.priority,
-            repeatable: plan.repeatable,
-            at,
-            latency: at.elapsed(),
+            key: spec.key,
+            priority: spec.priority,
+            repeatable: spec.repeatable,
+            sent_at,
+            latency: sent_at.elapsed(),
             ending,
             code,
         };
-        lock(&self.sent).push(sent.clone());
+        lock(&self.finished).push(request.clone());
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
-        sent
+        request
     }
 
+    /// Sends a request, and again if its outcome is unknown and the caller has
+    /// a run key. Returns its outcome and code.
     async fn exchange(
         &self,
-        plan: &RequestSpec,
+        spec: &RequestSpec,
         prompt: &str,
     ) -> (Ending, u64) {
-        let run_key = match plan.has_run_key {
-            true => match self.fetch_key(plan).await {
+        let run_key = match spec.has_run_key {
+            true => match self.fetch_key(spec).await {
                 Some(key) => Some(key),
                 None => return (Ending::NotRun, 0),
             },
             false => None,
         };
         let mut body = json!({
-            "model": plan.model,
+            "model": spec.model,
             "prompt": prompt,
-            "max_tokens": plan.max_tokens,
-            "priority": plan.priority,
-            "deadline_ms": plan.deadline_ms,
-            "repeatable": plan.repeatable,
-            "stream": plan.stream,
+            "max_tokens": spec.max_tokens,
+            "priority": spec.priority,
+            "deadline_ms": spec.deadline_ms,
+            "repeatable": spec.repeatable,
+            "stream": spec.stream,
         });
         if let Some(key) = &run_key {
             body["run_key"] = json!(key);
         }
-        let first = self.submit(plan, &body, prompt).await;
+        let first = self.submit(spec, &body, prompt).await;
         if run_key.is_none() || first.0 != Ending::Unknown {
             return first;
         }
-        // The caller that holds a key asks again under it, elsewhere.
-        self.submit(plan, &body, prompt).await
+        // A run key permits to send the request again, to any entry host.
+        self.submit(spec, &body, prompt).await
     }
 
-    async fn fetch_key(&self, plan: &RequestSpec) -> Option<String> {
-        let body = json!({ "model": plan.model });
-        let (_, value) = self.post("/v1/run-keys", plan, &body).await.ok()?;
+    async fn fetch_key(&self, spec: &RequestSpec) -> Option<String> {
+        let body = json!({ "model": spec.model });
+        let (_, value) = self.post("/v1/run-keys", spec, &body).await.ok()?;
         value.last()?["run_key"].as_str().map(str::to_string)
     }
 
+    /// Sends a request once. Returns its outcome and code.
     async fn submit(
         &self,
-        plan: &RequestSpec,
+        spec: &RequestSpec,
         body: &Value,
         prompt: &str,
     ) -> (Ending, u64) {
-        let answered = self.post("/v1/requests", plan, body).await;
+        let answered = self.post("/v1/requests", spec, body).await;
         let (is_whole_body, lines) = match answered {
             Ok(answered) => answered,
-            Err(NotAnswered::NotSent) => return (Ending::NotRun, 0),
-            Err(NotAnswered::Lost) => return (Ending::Unknown, 0),
+            Err(PostError::NotSent) => return (Ending::NotRun, 0),
+            Err(PostError::Lost) => return (Ending::Unknown, 0),
         };
-        let expected = expected_answer(prompt, plan.max_tokens);
-        judge(is_whole_body, &lines, &expected)
+        let expected = expected_answer(prompt, spec.max_tokens);
+        classify_answer(is_whole_body, &lines, &expected)
     }
 
-    /// Posts to an entry host, following one that is leaving to the next;
-    /// returns whether the body came whole, and its JSON lines.
+    /// Posts to an entry host and follows redirects to others. Returns whether
+    /// the body was received whole, and its JSON lines.
     async fn post(
         &self,
         path: &str,
-        plan: &RequestSpec,
+        spec: &RequestSpec,
         body: &Value,
-    ) -> Result<(bool, Vec<Value>), NotAnswered> {
+    ) -> Result<(bool, Vec<Value>), PostError> {
         let mut not_sent = 0;
         let mut address = self.address().await;
         loop {
-            let limit = Duration::from_millis(plan.deadline_ms) + PATIENCE;
-            let call = self.post_to(address, path, plan, body);
+            let limit = Duration::from_millis(spec.deadline_ms) + ANSWER_GRACE;
+            let call = self.post_to(address, path, spec, body);
             let answered = tokio::time::timeout(limit, call)
                 .await
-                .unwrap_or(Err(NotAnswered::Lost));
+                .unwrap_or(Err(PostError::Lost));
             match answered {
-                Ok(Posted::Redirected(next)) => {
-                    self.forget_where();
+                Ok(PostResponse::Redirected(next)) => {
+                    self.expire_entry_hosts();
                     address = next;
                 }
-                Ok(Posted::Answered(is_whole, lines)) => {
+                Ok(PostResponse::Answered(is_whole, lines)) => {
                     return Ok((is_whole, lines));
                 }
-                // Nothing was sent: another entry host may be asked.
-                Err(NotAnswered::NotSent) if not_sent < 3 => {
+                // Nothing was sent, so another entry host can be tried.
+                Err(PostError::NotSent) if not_sent < 3 => {
                     not_sent += 1;
-                    self.forget_where();
+                    self.expire_entry_hosts();
                     address = self.address().await;
                 }
                 Err(failure) => return Err(failure),
@@ -267,23 +277,21 @@
         &self,
         address: SocketAddr,
         path: &str,
-        plan: &RequestSpec,
+        spec: &RequestSpec,
         body: &Value,
-    ) -> Result<Posted, NotAnswered> {
+    ) -> Result<PostResponse, PostError> {
         let request = Request::post(format!("http://{address}{path}"))
-            .header("authorization", format!("Bearer {}", plan.key))
+            .header("authorization", format!("Bearer {}", spec.key))
             .body(Full::new(Bytes::from(body.to_string())))
-            .expect("the parts are sound");
+            .expect("the request is valid");
         let response =
             self.http.open(request).await.map_err(
                 |failure| match failure {
                     raildale::http_client::Failure::NotSent => {
-                        NotAnswered::NotSent
+                        PostError::NotSent
                     }
                     raildale::http_client::Failure::Lost
-                    | raildale::http_client::Failure::Late => {
-                        NotAnswered::Lost
-                    }
+                    | raildale::http_client::Failure::Late => PostError::Lost,
                 },
             )?;
         if response.status() == 307 {
@@ -295,7 +303,7 @@
                 .and_then(|rest| rest.split('/').next())
                 .and_then(|address| address.parse().ok());
             if let Some(next) = next {
-                return Ok(Posted::Redirected(next));
+                return Ok(PostResponse::Redirected(next));
             }
         }
         let mut body = response.into_body();
@@ -319,23 +327,25 @@
             .lines()
             .filter_map(|line| serde_json::from_str(line).ok())
             .collect();
-        Ok(Posted::Answered(is_whole, lines))
+        Ok(PostResponse::Answered(is_whole, lines))
     }
 
-    /// One of the addresses that `where` gave, asked again when its answer
-    /// is too old.
+    /// Returns a random entry host. Discovers the entry hosts again if the
+    /// known ones have expired.
     async fn address(&self) -> SocketAddr {
-        let is_old = lock(&self.known).until <= Instant::now();
-        if is_old {
-            self.ask_where().await;
+        let is_expired = lock(&self.entry_hosts).expires_at <= Instant::now();
+        if is_expired {
+            self.discover().await;
         }
-        let addresses = lock(&self.known).addresses.clone();
+        let addresses = lock(&self.entry_hosts).addresses.clone();
         addresses[rand::random_range(0..addresses.len())]
     }
 
-    async fn ask_where(&self) {
-        let seeds = lock(&self.known).addresses.clone();
-        for address in seeds.iter().chain(&self.seeds) {
+    /// Replaces the list of entry hosts by the first answer of a known entry
+    /// host or seed. Keeps the list if none answers.
+    async fn discover(&self) {
+        let known = lock(&self.entry_hosts).addresses.clone();
+        for address in known.iter().chain(&self.seeds) {
             let answer = self
                 .http
                 .call(
@@ -362,28 +372,32 @@
                 continue;
             }
             let ttl_ms = value["ttl_ms"].as_u64().unwrap_or(0);
-            let until = Instant::now() + Duration::from_millis(ttl_ms);
-            *lock(&self.known) = Known { addresses, until };
+            let expires_at = Instant::now() + Duration::from_millis(ttl_ms);
+            *lock(&self.entry_hosts) = EntryHosts { addresses, expires_at };
             return;
         }
     }
 
-    fn forget_where(&self) {
-        lock(&self.known).until = Instant::now();
+    /// Makes the next request discover the entry hosts again.
+    fn expire_entry_hosts(&self) {
+        lock(&self.entry_hosts).expires_at = Instant::now();
     }
 }
 
-enum Posted {
+/// The response to a post.
+enum PostResponse {
     Answered(bool, Vec<Value>),
     Redirected(SocketAddr),
 }
 
-enum NotAnswered {
+/// Why a post has no response.
+enum PostError {
     NotSent,
     Lost,
 }
 
-fn judge(
+/// Returns the outcome and the code of a request, given its answer lines.
+fn classify_answer(
     is_whole_body: bool,
     lines: &[Value],
     expected: &str,
@@ -410,29 +424,31 @@
     (ending, code)
 }
 
-/// What a group of requests came to.
+/// Counts of the outcomes of a group of requests.
 #[derive(Clone, Debug, Default, serde::Serialize)]
 pub struct Tally {
-    /// Requests sent.
+    /// Requests that were sent and have ended.
     pub requests_sent: u64,
-    /// Answered whole and right.
+    /// Requests with the whole and correct answer.
     pub requests_whole: u64,
-    /// Refused as not run.
+    /// Requests that were refused as not run or could not be sent.
     pub requests_not_run: u64,
-    /// Of unknown outcome, ended as cut included.
+    /// Requests with an unknown outcome or an answer reported as truncated.
     pub requests_unknown: u64,
-    /// That may not be repeated and ran more than once.
+    /// Requests that are not repeatable and ran more than once.
     pub requests_doubled: u64,
-    /// Presented as whole and were not.
+    /// Requests with a truncated answer that was reported as whole.
     pub requests_cut: u64,
-    /// Answered with another's answer.
+    /// Requests with a wrong answer, such as another request's.
     pub requests_crossed: u64,
-    /// Refused as not run although they ran.
+    /// Requests that are not repeatable and were refused as not run although
+    /// they ran.
     pub requests_not_run_lies: u64,
 }
 
 impl Tally {
-    /// Counts endings, and real runs by the targets' own record.
+    /// Counts the outcomes in `sent` and compares them with the runs recorded
+    /// in `truth`.
     pub fn new(sent: &[SentRequest], truth: &GroundTruth) -> Tally {
         let mut tally = Tally::default();
         for request in sent {
@@ -450,10 +466,10 @@
             if !request.repeatable && runs > 1 {
                 tally.requests_doubled += 1;
             }
-            let lied = request.ending == Ending::NotRun
+            let is_false_refusal = request.ending == Ending::NotRun
                 && runs > 0
                 && !request.repeatable;
-            if lied {
+            if is_false_refusal {
                 tally.requests_not_run_lies += 1;
             }
         }
@@ -461,14 +477,15 @@
     }
 }
 
-/// The quantile of how long requests took, in milliseconds.
+/// Returns a quantile of the latencies of requests, in milliseconds; 0 if
+/// there are none.
 pub fn latency_quantile_ms(sent: &[&SentRequest], quantile: f64) -> f64 {
-    let mut times: Vec<Duration> =
+    let mut latencies: Vec<Duration> =
         sent.iter().map(|request| request.latency).collect();
-    times.sort_unstable();
-    if times.is_empty() {
+    latencies.sort_unstable();
+    if latencies.is_empty() {
         return 0.0;
     }
-    let place = ((times.len() - 1) as f64 * quantile).ceil() as usize;
-    times[place].as_secs_f64() * 1000.0
+    let index = ((latencies.len() - 1) as f64 * quantile).ceil() as usize;
+    latencies[index].as_secs_f64() * 1000.0
 }
