--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine: batching, prefix cache, priorities, streaming, fenced
-//! orders, and a kind that checks no fence.
+//! A simulated model engine with a limit on concurrent runs, a prefix cache,
+//! streaming and activation orders that may be fenced.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -23,27 +23,28 @@
     truth::{GroundTruth, lock, request_id, token},
 };
 
-/// How an engine works.
+/// The configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// The host's name.
+    /// The name of its host.
     pub host: String,
-    /// Runs at once; more wait, urgent ones first.
+    /// The batch size. Up to twice as many runs are accepted at the same time.
     pub batch: usize,
-    /// Time to take in a prompt whose prefix is not cached.
+    /// The time to read a prompt whose prefix is not cached; a quarter of it
+    /// if the prefix is cached.
     pub prefill: Duration,
-    /// Time for each token when alone.
+    /// The time per token of a run alone in the batch.
     pub token: Duration,
-    /// Time that each further run in the batch adds to a token.
+    /// The time that each further run adds to each token.
     pub token_per_run: Duration,
-    /// Prefixes that the cache holds.
+    /// The maximum number of prefixes in the cache.
     pub cached_prefixes: usize,
-    /// Whether an order with a lower fence is refused.
+    /// Whether an order with a lower fence than a previous one is refused.
     pub checks_fences: bool,
 }
 
 impl EngineConfig {
-    /// A small engine.
+    /// Returns the configuration of a small engine on `host`.
     pub fn new(host: &str) -> EngineConfig {
         EngineConfig {
             host: host.to_string(),
@@ -59,15 +60,18 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// The digests of the staged chunks, by manifest.
     slots: HashMap<Digest, Vec<Option<Digest>>>,
+    /// The served manifest, by model.
     active: HashMap<String, Digest>,
+    /// The highest fence seen, by model: revision and incarnation.
     fences: HashMap<String, (u64, u64)>,
     running: usize,
     prefixes: VecDeque<String>,
     last_run_ended: Option<Instant>,
 }
 
-/// The stand-in.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
     config: EngineConfig,
@@ -76,11 +80,11 @@
 }
 
 impl Engine {
-    /// Starts it at `address`.
+    /// Starts an engine that listens on `address`.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// Returns an error if `address` cannot be bound.
     pub async fn start(
         address: SocketAddr,
         config: EngineConfig,
@@ -96,17 +100,17 @@
         Ok(engine)
     }
 
-    /// Runs in progress.
+    /// Returns the number of runs in progress.
     pub fn running(&self) -> usize {
         lock(&self.state).running
     }
 
-    /// When a run last ended or was cancelled.
+    /// Returns when a run last ended or was cancelled; `None` if none has.
     pub fn last_run_ended(&self) -> Option<Instant> {
         lock(&self.state).last_run_ended
     }
 
-    /// What it serves for `model`.
+    /// Returns the manifest that it serves for `model`.
     pub fn active(&self, model: &str) -> Option<Digest> {
         lock(&self.state).active.get(model).copied()
     }
@@ -133,6 +137,7 @@
         }
     }
 
+    /// Stores the digest of a chunk in the slot of its manifest.
     fn stage(
         &self,
         manifest: &str,
@@ -153,8 +158,9 @@
         answer(StatusCode::OK, "")
     }
 
-    /// Obeys whatever it is told, as engines do: it does not look whether
-    /// the slot is whole. Only the fence is checked, and only by one kind.
+    /// Activates a version. Like a real engine, it does not check whether the
+    /// slot is complete. The fence is checked only if the configuration says
+    /// so.
     fn activate(&self, model: &str, body: &[u8]) -> Response<Body> {
         let Ok(order) = serde_json::from_slice::<ActivateOrder>(body) else {
             return answer(StatusCode::BAD_REQUEST, "");
@@ -220,6 +226,7 @@
         Response::new(StreamBody::new(frames).boxed_unsync())
     }
 
+    /// Returns the time to read the prompt, and adds its prefix to the cache.
     fn prefill(&self, state: &mut State, request: &Generate) -> Duration {
         let start: String = request.prompt.chars().take(64).collect();
         let prefix = format!("{}\0{start}", request.cache_salt);
@@ -233,13 +240,15 @@
         self.config.prefill
     }
 
+    /// Returns the time per token with the current number of runs.
     fn token_time(&self) -> Duration {
         let others = self.running().saturating_sub(1) as u32;
         self.config.token + self.config.token_per_run * others
     }
 }
 
-/// A run; dropped at its end, also when its reader goes away.
+/// A run in progress. Dropping it counts the run as ended, also if its reader
+/// disconnects.
 struct Run {
     engine: Arc<Engine>,
 }
@@ -274,9 +283,10 @@
     }
 }
 
+/// Returns a refusal that states that the request was not started.
 fn not_started(status: StatusCode) -> Response<Body> {
     let mut response = answer(status, "");
-    let yes = "1".parse().expect("it is a header's value");
-    response.headers_mut().insert("x-not-started", yes);
+    let value = "1".parse().expect("a valid header value");
+    response.headers_mut().insert("x-not-started", value);
     response
 }
