--- a/crates/raildale-testkit/src/fleet.rs
+++ b/crates/raildale-testkit/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Real processes of the product on loopback, with the stand-ins round them.
+//! A fleet of real entry hosts and agents on loopback, with simulated engines,
+//! origin, platform and links.
 
 use std::{
     fs::File,
@@ -27,53 +28,59 @@
     truth::GroundTruth,
 };
 
-/// The key that may write the first settings.
+/// The admin key that may write the first settings.
 pub const BOOTSTRAP_KEY: &str = "bootstrap-key";
 
 const CLUSTER_KEY: &str = "the bench's cluster";
+/// The port on which processes listen, behind the relay of their link.
 const INNER_PORT: u16 = 7000;
+/// The port of the relay, which processes advertise to each other.
 const LINK_PORT: u16 = 7001;
 const HTTP_PORT: u16 = 8080;
 const TARGET_PORT: u16 = 9000;
+/// The number of agents per /24 network.
 const AGENTS_PER_NET: usize = 250;
 
-/// A host's link where no spread is measured.
-const QUICK_LINK_BYTES_PER_S: u64 = 8 << 20;
+/// The rate of a host's link in benchmarks that do not measure the spread.
+const FAST_LINK_BYTES_PER_S: u64 = 8 << 20;
 
-/// Bytes of a chunk where no spread is measured.
-const QUICK_CHUNK_BYTES: u64 = 16 << 10;
+/// The size of a chunk in benchmarks that do not measure the spread.
+const SMALL_CHUNK_BYTES: u64 = 16 << 10;
 
-/// Time that a plain service's call takes.
-const PLAIN_CALL: Duration = Duration::from_millis(15);
+/// The duration of a call to the plain service.
+const PLAIN_CALL_DURATION: Duration = Duration::from_millis(15);
 
-/// What a fleet consists of.
+/// The configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// The program that starts as `node-entry` or `node-agent`.
+    /// The executable, which has the subcommands `node-entry` and
+    /// `node-agent`.
     pub program: PathBuf,
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub entries: usize,
-    /// Hosts with a model engine.
+    /// The number of hosts with a model engine.
     pub hosts: usize,
-    /// Data centres, over which all are spread evenly.
+    /// The number of data centres, over which all hosts are distributed
+    /// evenly.
     pub data_centres: usize,
-    /// A host's link; the origin's carries twice as much.
+    /// The rate of a host's link; the origin's is twice as fast.
     pub link_bytes_per_s: u64,
-    /// Bytes of a chunk.
+    /// The size of a chunk, in bytes.
     pub chunk_bytes: u64,
-    /// How chunks are found, as agents' settings name it.
+    /// The distribution scheme in the agents' settings.
     pub scheme: String,
-    /// Every n-th engine checks no fence; 0 none.
+    /// Every n-th engine does not check fences; 0 for none.
     pub unfenced_one_in: usize,
-    /// Whether processes write a span for each hop.
+    /// Whether processes log a span for each hop.
     pub spans: bool,
-    /// Lines added to `[link]` of each agent.
+    /// Lines added to `[link]` of each agent's settings file.
     pub link_extra: String,
 }
 
 impl FleetConfig {
-    /// A fleet for experiments that measure no spread: quick links, small
-    /// chunks, a quarter of the engines checks no fence.
+    /// Returns the configuration of a fleet for benchmarks that do not measure
+    /// the spread: fast links and small chunks. A quarter of the engines does
+    /// not check fences.
     pub fn new(
         program: impl Into<PathBuf>,
         entries: usize,
@@ -84,8 +91,8 @@
             entries,
             hosts,
             data_centres: 3,
-            link_bytes_per_s: QUICK_LINK_BYTES_PER_S,
-            chunk_bytes: QUICK_CHUNK_BYTES,
+            link_bytes_per_s: FAST_LINK_BYTES_PER_S,
+            chunk_bytes: SMALL_CHUNK_BYTES,
             scheme: "swarm".into(),
             unfenced_one_in: 4,
             spans: false,
@@ -93,36 +100,36 @@
         }
     }
 
-    /// The same, with a span for each hop.
+    /// Makes the processes log a span for each hop.
     pub fn with_spans(mut self) -> FleetConfig {
         self.spans = true;
         self
     }
 }
 
-/// A process of the product.
+/// An entry host or agent process.
 #[derive(Debug)]
 pub struct Node {
-    /// Its name.
+    /// The name of the process.
     pub name: String,
-    /// Its address.
+    /// The address of its host.
     pub ip: IpAddr,
-    /// Its data centre.
+    /// The data centre of its host.
     pub data_centre: String,
     role: &'static str,
     settings: PathBuf,
     child: Option<Child>,
 }
 
-/// A running fleet. Dropping it ends its processes.
+/// A running fleet. Dropping it kills its processes.
 #[derive(Debug)]
 pub struct Fleet {
     config: FleetConfig,
     net: u8,
     folder: TempDir,
-    /// The links.
+    /// The links of all hosts.
     pub links: Arc<LinkTable>,
-    /// What really happened.
+    /// The ground truth about versions and runs.
     pub truth: Arc<GroundTruth>,
     /// The origin.
     pub origin: Arc<Origin>,
@@ -130,29 +137,31 @@
     pub platform: Arc<Platform>,
     /// The entry hosts.
     pub entries: Vec<Node>,
-    /// The agents of hosts with an engine; the last one's is a plain service.
+    /// The agents. The target of the last one is a plain service, those of the
+    /// others are engines.
     pub agents: Vec<Node>,
-    /// The engines, by the agents' order.
+    /// The engines, in the order of their agents.
     pub engines: Vec<Arc<Engine>>,
 }
 
 impl Fleet {
-    /// Starts stand-ins and processes.
+    /// Starts the simulated systems and the processes.
     ///
     /// # Errors
     ///
-    /// If an address cannot be had or a process cannot be started.
+    /// Returns an error if an address cannot be bound or a process cannot be
+    /// started.
     pub async fn start(config: FleetConfig) -> io::Result<Fleet> {
-        let net = free_net().await?;
+        let net = claim_net().await?;
         let links = LinkTable::new();
         let origin_ip = ip(net, 2, 1);
         let origin_rate = Some(2 * config.link_bytes_per_s);
         links.add_other(origin_ip, &data_centre(0), origin_rate);
-        let origin_at = SocketAddr::new(origin_ip, TARGET_PORT);
-        let platform_at = SocketAddr::new(ip(net, 2, 2), TARGET_PORT);
+        let origin_address = SocketAddr::new(origin_ip, TARGET_PORT);
+        let platform_address = SocketAddr::new(ip(net, 2, 2), TARGET_PORT);
         let mut fleet = Fleet {
-            origin: Origin::start(origin_at, links.clone()).await?,
-            platform: Platform::start(platform_at).await?,
+            origin: Origin::start(origin_address, links.clone()).await?,
+            platform: Platform::start(platform_address).await?,
             truth: GroundTruth::new(),
             folder: TempDir::new()?,
             links,
@@ -169,29 +178,30 @@
         Ok(fleet)
     }
 
-    /// Where callers reach the entry hosts.
+    /// Returns the addresses of the entry hosts' HTTP API.
     pub fn http_addresses(&self) -> Vec<SocketAddr> {
         let http = |node: &Node| SocketAddr::new(node.ip, HTTP_PORT);
         self.entries.iter().map(http).collect()
     }
 
-    /// The address that callers come from.
+    /// Returns the address that callers connect from.
     pub fn caller_ip(&self) -> IpAddr {
         ip(self.net, 3, 1)
     }
 
-    /// The folder with settings files and logs.
+    /// Returns the folder with settings files and logs.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
 
-    /// Keeps the folder after the fleet's end, for a look at the logs.
+    /// Keeps the folder after the fleet is dropped. Returns its path.
     pub fn keep_folder(&mut self) -> PathBuf {
         self.folder.disable_cleanup(true);
         self.folder.path().to_path_buf()
     }
 
-    /// When each engine that serves `manifest` first did.
+    /// Returns when each engine first served `manifest`; engines that never
+    /// did are left out.
     pub fn activation_times(
         &self,
         manifest: Digest,
@@ -209,7 +219,7 @@
             let name = format!("entry-{index}");
             let data_centre = data_centre(index % self.config.data_centres);
             self.links.add_other(ip, &data_centre, None);
-            self.relay(ip).await?;
+            self.start_relay(ip).await?;
             let settings = self.entry_settings(&name, ip, &data_centre);
             let node =
                 self.spawn("node-entry", name, ip, data_centre, &settings)?;
@@ -229,10 +239,11 @@
         let data_centre = data_centre(index % self.config.data_centres);
         let rate = self.config.link_bytes_per_s;
         self.links.add_host(ip, &data_centre, rate);
-        self.relay(ip).await?;
+        self.start_relay(ip).await?;
         let target = SocketAddr::new(ip, TARGET_PORT);
         if is_plain {
-            plain::start(target, PLAIN_CALL, self.truth.clone()).await?;
+            plain::start(target, PLAIN_CALL_DURATION, self.truth.clone())
+                .await?;
         } else {
             let mut config = EngineConfig::new(&name);
             let one_in = self.config.unfenced_one_in;
@@ -249,13 +260,15 @@
         Ok(())
     }
 
-    async fn relay(&self, ip: IpAddr) -> io::Result<()> {
+    /// Starts the relay of the link of `ip`.
+    async fn start_relay(&self, ip: IpAddr) -> io::Result<()> {
         let outside =
             TcpListener::bind(SocketAddr::new(ip, LINK_PORT)).await?;
         self.links.relay(outside, SocketAddr::new(ip, INNER_PORT));
         Ok(())
     }
 
+    /// Returns the sections of a settings file that all processes have.
     fn node_section(
         &self,
         name: &str,
@@ -281,8 +294,13 @@
         )
     }
 
-    fn entry_settings(&self, name: &str, ip: IpAddr, at: &str) -> String {
-        let node = self.node_section(name, ip, at);
+    fn entry_settings(
+        &self,
+        name: &str,
+        ip: IpAddr,
+        data_centre: &str,
+    ) -> String {
+        let node = self.node_section(name, ip, data_centre);
         let hash = Digest::of(BOOTSTRAP_KEY.as_bytes());
         format!(
             "{node}[http]\nlisten = \"{ip}:{HTTP_PORT}\"\n\
@@ -296,10 +314,10 @@
         &self,
         name: &str,
         ip: IpAddr,
-        at: &str,
+        data_centre: &str,
         pool: &str,
     ) -> String {
-        let node = self.node_section(name, ip, at);
+        let node = self.node_section(name, ip, data_centre);
         format!(
             "{node}[target]\naddress = \"{ip}:{TARGET_PORT}\"\n\
              pool = \"{pool}\"\ncapacity = 8\n\n\
@@ -311,6 +329,7 @@
         )
     }
 
+    /// Writes a settings file and starts a process with it.
     fn spawn(
         &self,
         role: &'static str,
@@ -327,20 +346,20 @@
         Ok(node)
     }
 
-    /// Starts a process again that was ended.
+    /// Starts an entry host that has ended again.
     ///
     /// # Errors
     ///
-    /// If it cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn restart_entry(&mut self, index: usize) -> io::Result<()> {
         self.entries[index].start(&self.config.program)
     }
 
-    /// The same for an agent.
+    /// Starts an agent that has ended again.
     ///
     /// # Errors
     ///
-    /// If it cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn restart_agent(&mut self, index: usize) -> io::Result<()> {
         self.agents[index].start(&self.config.program)
     }
@@ -362,7 +381,7 @@
         Ok(())
     }
 
-    /// Kills the process, as a host's death does.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -370,33 +389,34 @@
         }
     }
 
-    /// The same, without waiting for its end.
+    /// Kills the process without waiting for its end.
     pub fn crash(&self) {
         self.signal(Signal::SIGKILL);
     }
 
-    /// Tells the process to leave.
+    /// Asks the process to leave, with `SIGTERM`.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Freezes the process.
+    /// Suspends the process.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process.
     pub fn thaw(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         let Some(child) = &mut self.child else { return false };
         matches!(child.try_wait(), Ok(None))
     }
 
-    /// The process's id, while it runs.
+    /// Returns the process id; `None` if the process was not started or was
+    /// killed by [`Node::kill`].
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -414,25 +434,26 @@
     }
 }
 
-/// The name of the n-th data centre.
+/// Returns the name of the data centre with an index.
 pub fn data_centre(index: usize) -> String {
     format!("dc-{index}")
 }
 
-/// An address on loopback.
+/// Returns an address on loopback.
 fn ip(net: u8, third: u8, last: u8) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, net, third, last))
 }
 
-/// Picks a network of loopback that no other run on this machine uses: its
-/// platform's address can still be listened on.
-async fn free_net() -> io::Result<u8> {
+/// Claims a loopback network that no other fleet on this machine uses. Returns
+/// its second octet. A listener on an address of the network serves as the
+/// lock.
+async fn claim_net() -> io::Result<u8> {
     for _ in 0..50 {
         let net = rand::random_range(1..=250);
         let lock = SocketAddr::new(ip(net, 2, 3), TARGET_PORT);
         if let Ok(listener) = TcpListener::bind(lock).await {
-            // The listener stays for the life of the process and so keeps
-            // the network taken.
+            // The listener is leaked so that the network stays claimed for
+            // the life of the process.
             std::mem::forget(listener);
             return Ok(net);
         }
