--- a/crates/raildale-testkit/src/http_server.rs
+++ b/crates/raildale-testkit/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! A small HTTP server for the simulated systems.
 
 use std::{convert::Infallible, future::Future, net::IpAddr, sync::Arc};
 
@@ -10,11 +10,11 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// A body that may stream.
+/// A response body, whole or streamed.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Serves `handler` for as long as the runtime lives; it hears from which
-/// address each request came.
+/// Serves requests in the background with `handler`, which also gets the
+/// address of the client.
 pub fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(IpAddr, Request<Incoming>) -> F + Send + Sync + 'static,
@@ -31,32 +31,32 @@
             let handler = handler.clone();
             tokio::spawn(async move {
                 let service = service_fn(move |request| {
-                    let answer = handler(from.ip(), request);
-                    async move { Ok::<_, Infallible>(answer.await) }
+                    let response = handler(from.ip(), request);
+                    async move { Ok::<_, Infallible>(response.await) }
                 });
-                let served = hyper::server::conn::http1::Builder::new()
+                let result = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
-                // A client that goes away midway is the ordinary course.
-                drop(served);
+                // Clients may disconnect at any time, which is not an error.
+                drop(result);
             });
         }
     });
 }
 
-/// A whole body.
+/// Returns a body with the given data.
 pub fn full(data: impl Into<Bytes>) -> Body {
     Full::new(data.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer with a whole body.
+/// Returns a response with the given status and data.
 pub fn answer(status: StatusCode, data: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full(data));
     *response.status_mut() = status;
     response
 }
 
-/// Reads a whole request body; empty if it was cut.
+/// Reads a request body. Returns an empty one if the connection broke off.
 pub async fn read(body: Incoming) -> Bytes {
     match body.collect().await {
         Ok(whole) => whole.to_bytes(),
@@ -64,7 +64,7 @@
     }
 }
 
-/// The value of `name` in a query string.
+/// Returns the value of `name` in a query string.
 pub fn query_value<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
