--- a/crates/raildale-testkit/src/lib.rs
+++ b/crates/raildale-testkit/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins for the systems that raildale serves, and the bench.
+//! Simulations of the systems that raildale works with, and benchmarks.
 //!
-//! The stand-ins speak the protocols of the platform, the origin, model
-//! engines and plain services, and count what happens to them, so that no
-//! figure rests on what the product says of itself. [`bench`] runs real
-//! processes of the product against them on loopback.
+//! The simulated systems speak the protocols of the platform, the origin,
+//! model engines and plain services, and count the calls to them, so that no
+//! figure depends on what the tested processes report. [`bench`] runs real
+//! raildale processes against them on loopback. [`load`] simulates load on a
+//! fleet in virtual time.
 
 pub mod bench;
 pub mod caller;
