--- a/crates/raildale-testkit/src/links.rs
+++ b/crates/raildale-testkit/src/links.rs
@@ -1,9 +1,9 @@
-//! Hosts' links: rates, faults, and what crossed them.
+//! Simulated network links of hosts, with rates, faults and byte counters.
 //!
-//! Each host has an address of its own on loopback, and every connection to
-//! a process of the product goes through a relay here. The relay knows both
-//! ends by their addresses, holds the bytes to both links' rates, counts
-//! those that cross between data centres, and stalls, cuts or corrupts.
+//! Each host has an address of its own on loopback, and every connection to an
+//! entry host or agent passes through a relay. The relay identifies both ends
+//! by their addresses, limits the transfer to the rates of both links, counts
+//! the bytes sent between data centres, and can stall or corrupt the transfer.
 
 use std::{
     collections::HashMap,
@@ -22,38 +22,43 @@
 
 use crate::truth::lock;
 
-/// Bytes that pass a relay at once. A real link's queue holds packets; small
-/// pieces let a short message on another connection pass early.
+/// The maximum number of bytes that a relay transfers at once. Like the
+/// packets of a real link, small pieces let a short message on another
+/// connection pass between them.
 const PIECE_BYTES: usize = 4 << 10;
 
-/// Waits shorter than this are saved up, since a timer is no finer.
-const GRAIN: Duration = Duration::from_millis(2);
+/// The minimum wait. Shorter waits are accumulated, since timers are not more
+/// precise.
+const MIN_WAIT: Duration = Duration::from_millis(2);
 
-/// Time that an idle link may catch up.
-const CATCH_UP: Duration = Duration::from_millis(5);
+/// The idle time that a link may make up for with a burst.
+const BURST_WINDOW: Duration = Duration::from_millis(5);
 
-/// How often a stalled connection looks whether it may go on.
-const STALL_POLL: Duration = Duration::from_millis(50);
+/// The interval at which a stalled connection checks whether it may continue.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One host's link.
+/// The link of a host.
 #[derive(Debug)]
 pub struct HostLink {
     data_centre: String,
+    /// Whether it is the link of a target host, whose traffic counts as peer
+    /// traffic.
     is_host: bool,
-    up: Rate,
-    down: Rate,
+    up: RateLimit,
+    down: RateLimit,
     is_stalled: AtomicBool,
     bytes: AtomicU64,
 }
 
-/// One direction of a link.
+/// The rate limit of one direction of a link; none if `bytes_per_s` is `None`.
 #[derive(Debug)]
-struct Rate {
+struct RateLimit {
     bytes_per_s: Option<u64>,
+    /// When all reserved bytes have passed.
     free_at: Mutex<Instant>,
 }
 
-/// All links, and what crossed them.
+/// All links, with byte counters.
 #[derive(Debug, Default)]
 pub struct LinkTable {
     links: Mutex<HashMap<IpAddr, Arc<HostLink>>>,
@@ -64,18 +69,18 @@
 }
 
 impl LinkTable {
-    /// No links yet.
+    /// Returns a table without links.
     pub fn new() -> Arc<LinkTable> {
         Arc::default()
     }
 
-    /// Adds a target host's link of `bytes_per_s` each way.
+    /// Adds the link of a target host with `bytes_per_s` in each direction.
     pub fn add_host(&self, ip: IpAddr, data_centre: &str, bytes_per_s: u64) {
         self.add(ip, data_centre, true, Some(bytes_per_s));
     }
 
-    /// Adds an address whose own link is not the bottleneck, or, with a
-    /// rate, one that is but is no target host: the origin.
+    /// Adds the link of a host that is not a target host, such as the origin.
+    /// Its rate is unlimited if `bytes_per_s` is `None`.
     pub fn add_other(
         &self,
         ip: IpAddr,
@@ -85,45 +90,51 @@
         self.add(ip, data_centre, false, bytes_per_s);
     }
 
-    /// Stalls or frees a host's link: connections stand, nothing moves.
+    /// Stalls or resumes a host's link. A stalled link keeps its connections
+    /// but transfers nothing.
     pub fn set_stalled(&self, ip: IpAddr, is_stalled: bool) {
         if let Some(link) = lock(&self.links).get(&ip) {
             link.is_stalled.store(is_stalled, Ordering::Relaxed);
         }
     }
 
-    /// Corrupts a byte of one in `pieces` full pieces between hosts; 0 ends.
+    /// Corrupts a byte in every n-th full piece that is relayed, where n is
+    /// `pieces`; 0 for none.
     pub fn set_corrupt_one_in(&self, pieces: u64) {
         self.corrupt_one_in.store(pieces, Ordering::Relaxed);
     }
 
-    /// Bytes between target hosts of different data centres.
+    /// Returns the bytes sent between target hosts of different data centres.
     pub fn crossing_bytes(&self) -> u64 {
         self.crossing_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes between target hosts.
+    /// Returns the bytes sent between target hosts.
     pub fn peer_bytes(&self) -> u64 {
         self.peer_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes over one link, both ways.
+    /// Returns the bytes sent over one link in both directions; 0 if there is
+    /// no such link.
     pub fn link_bytes(&self, ip: IpAddr) -> u64 {
         self.link(ip).map_or(0, |link| link.bytes.load(Ordering::Relaxed))
     }
 
-    /// Forgets what crossed so far.
+    /// Resets the counters of [`LinkTable::crossing_bytes`] and
+    /// [`LinkTable::peer_bytes`].
     pub fn reset_counts(&self) {
         self.crossing_bytes.store(0, Ordering::Relaxed);
         self.peer_bytes.store(0, Ordering::Relaxed);
     }
 
-    /// Pieces that a chunk takes, for [`LinkTable::set_corrupt_one_in`].
+    /// Returns the number of pieces of a transfer of `bytes` bytes, for
+    /// [`LinkTable::set_corrupt_one_in`].
     pub fn piece_count(bytes: u64) -> u64 {
         bytes.div_ceil(PIECE_BYTES as u64)
     }
 
-    /// Waits until `bytes` have passed from one link to the other.
+    /// Waits until `bytes` bytes may pass from one link to the other, and
+    /// counts them.
     pub async fn transfer(&self, from: IpAddr, to: IpAddr, bytes: usize) {
         let (source, sink) = (self.link(from), self.link(to));
         loop {
@@ -134,26 +145,26 @@
             if !is_stalled {
                 break;
             }
-            tokio::time::sleep(STALL_POLL).await;
+            tokio::time::sleep(STALL_POLL_INTERVAL).await;
         }
         let now = Instant::now();
         let up = source.as_ref().map(|link| link.up.reserve(now, bytes));
         let down = sink.as_ref().map(|link| link.down.reserve(now, bytes));
-        let turn = up.max(down).unwrap_or(now);
-        let wait = turn.saturating_duration_since(now);
-        if wait >= GRAIN {
+        let start = up.max(down).unwrap_or(now);
+        let wait = start.saturating_duration_since(now);
+        if wait >= MIN_WAIT {
             tokio::time::sleep(wait).await;
         }
         self.count(source.as_deref(), sink.as_deref(), bytes as u64);
     }
 
-    /// Relays connections made to `listener` on to `inner`.
+    /// Relays connections from `listener` to `inner` in the background.
     pub fn relay(self: &Arc<Self>, listener: TcpListener, inner: SocketAddr) {
         let table = self.clone();
         tokio::spawn(async move {
             loop {
                 let Ok((outside, from)) = listener.accept().await else {
-                    tokio::time::sleep(STALL_POLL).await;
+                    tokio::time::sleep(STALL_POLL_INTERVAL).await;
                     continue;
                 };
                 let table = table.clone();
@@ -164,13 +175,14 @@
         });
     }
 
+    /// Relays one connection until one of its directions ends.
     async fn connect(
         self: Arc<Self>,
         outside: TcpStream,
         from: IpAddr,
         inner: SocketAddr,
     ) {
-        // The inner process sees the relay's own side as 127.0.0.1.
+        // The process behind the relay sees connections from 127.0.0.1.
         let Ok(socket) = TcpSocket::new_v4() else { return };
         let Ok(inside) = socket.connect(inner).await else { return };
         let _ = outside.set_nodelay(true);
@@ -178,8 +190,8 @@
         let (outside_read, outside_write) = outside.into_split();
         let (inside_read, inside_write) = inside.into_split();
         let to = inner.ip();
-        // When one direction ends the other is dropped with it, as when a
-        // process dies.
+        // When one direction ends, the other is dropped too, as if the process
+        // had died.
         tokio::select! {
             () = self.copy(outside_read, inside_write, from, to) => {}
             () = self.copy(inside_read, outside_write, to, from) => {}
@@ -250,8 +262,8 @@
         let link = HostLink {
             data_centre: data_centre.to_string(),
             is_host,
-            up: Rate::new(bytes_per_s),
-            down: Rate::new(bytes_per_s),
+            up: RateLimit::new(bytes_per_s),
+            down: RateLimit::new(bytes_per_s),
             is_stalled: AtomicBool::new(false),
             bytes: AtomicU64::new(0),
         };
@@ -259,18 +271,19 @@
     }
 }
 
-impl Rate {
-    fn new(bytes_per_s: Option<u64>) -> Rate {
-        Rate { bytes_per_s, free_at: Mutex::new(Instant::now()) }
+impl RateLimit {
+    fn new(bytes_per_s: Option<u64>) -> RateLimit {
+        RateLimit { bytes_per_s, free_at: Mutex::new(Instant::now()) }
     }
 
+    /// Reserves the time to transfer `bytes` bytes. Returns its start.
     fn reserve(&self, now: Instant, bytes: usize) -> Instant {
         let Some(bytes_per_s) = self.bytes_per_s else { return now };
         let nanos = bytes as u64 * 1_000_000_000 / bytes_per_s.max(1);
         let mut free_at = lock(&self.free_at);
-        let earliest = now.checked_sub(CATCH_UP).unwrap_or(now);
-        let turn = (*free_at).max(earliest);
-        *free_at = turn + Duration::from_nanos(nanos);
-        turn
+        let earliest = now.checked_sub(BURST_WINDOW).unwrap_or(now);
+        let start = (*free_at).max(earliest);
+        *free_at = start + Duration::from_nanos(nanos);
+        start
     }
 }
