--- a/crates/raildale-testkit/src/origin.rs
+++ b/crates/raildale-testkit/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights, with a rated link.
+//! A simulated origin of model weights, with a rate-limited link.
 
 use std::{
     collections::HashMap,
@@ -22,7 +22,7 @@
     truth::lock,
 };
 
-/// Bytes that leave the origin between two waits.
+/// The maximum number of bytes that the origin sends at once.
 const PIECE_BYTES: usize = 8 << 10;
 
 /// A version at the origin.
@@ -32,7 +32,7 @@
     manifest: Manifest,
 }
 
-/// The stand-in.
+/// A simulated origin.
 #[derive(Debug)]
 pub struct Origin {
     ip: IpAddr,
@@ -43,11 +43,12 @@
 }
 
 impl Origin {
-    /// Starts it at `address`; its rate is that of its link.
+    /// Starts an origin that listens on `address`. Its rate is that of its
+    /// link in `links`.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// Returns an error if `address` cannot be bound.
     pub async fn start(
         address: SocketAddr,
         links: Arc<LinkTable>,
@@ -67,23 +68,23 @@
         Ok(origin)
     }
 
-    /// Stores, or replaces, what is at `path`.
+    /// Stores a version at `path`, replacing the previous one.
     pub fn store(&self, path: &str, data: Bytes, manifest: Manifest) {
         let stored = Stored { data, manifest };
         lock(&self.versions).insert(path.to_string(), stored);
     }
 
-    /// Chunk bytes that left the origin.
+    /// Returns the bytes of manifests and chunks that it has sent.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent.load(Ordering::Relaxed)
     }
 
-    /// Forgets what left so far.
+    /// Resets the counter of [`Origin::bytes_sent`].
     pub fn reset_counts(&self) {
         self.bytes_sent.store(0, Ordering::Relaxed);
     }
 
-    /// Makes it refuse, or answer again.
+    /// Makes it refuse all requests, or answer again.
     pub fn set_down(&self, is_down: bool) {
         self.is_down.store(is_down, Ordering::Relaxed);
     }
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Returns the manifest or chunk at a path.
     fn find(&self, path: &str) -> Option<Bytes> {
         let versions = lock(&self.versions);
         if let Some(path) = path.strip_suffix("/manifest") {
@@ -120,7 +122,7 @@
         Some(stored.data.slice(start..end))
     }
 
-    /// Streams at the rate of both links.
+    /// Streams data at the rates of the origin's and the client's links.
     fn send(self: Arc<Self>, to: IpAddr, data: Bytes) -> Response<Body> {
         let length = data.len();
         let pieces = stream::unfold(data, move |mut data| {
