--- a/crates/raildale-testkit/src/plain.rs
+++ b/crates/raildale-testkit/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service, some of whose calls may not be repeated.
+//! A simulated plain service.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,14 +11,14 @@
     truth::{GroundTruth, expected_answer, request_id},
 };
 
-/// Starts a service at `address` whose calls take `time` each.
+/// Starts a service that listens on `address`. Each call takes `duration`.
 ///
 /// # Errors
 ///
-/// If the address cannot be listened on.
+/// Returns an error if `address` cannot be bound.
 pub async fn start(
     address: SocketAddr,
-    time: Duration,
+    duration: Duration,
     truth: Arc<GroundTruth>,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(address).await?;
@@ -32,7 +32,7 @@
                 return answer(StatusCode::NOT_FOUND, "");
             };
             truth.record_run(request_id(&call.prompt));
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             let text = expected_answer(&call.prompt, call.max_tokens);
             answer(StatusCode::OK, text)
         }
