--- a/crates/raildale-testkit/src/platform.rs
+++ b/crates/raildale-testkit/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's object API: versions, conditional updates, watches, and
-//! its faults, restores from an older copy.
+//! A simulation of the platform's object API, with versions, conditional
+//! updates, watches, injected faults and restores from a snapshot.
 
 use std::{
     collections::HashMap,
@@ -22,22 +22,22 @@
     truth::lock,
 };
 
-/// Bytes of a value at most.
+/// The maximum size of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Versions of an object that a stale read may answer from.
+/// The number of old versions of an object that are kept for stale reads.
 const OLD_VERSIONS: usize = 8;
 
-/// What goes wrong, and how often.
+/// The injected faults.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Whether no call is answered.
+    /// Whether calls are left unanswered.
     pub is_down: bool,
-    /// Time added to each call.
+    /// The delay added to each call.
     pub delay: Duration,
-    /// One in so many updates takes effect and its answer is lost; 0 none.
+    /// Every n-th update takes effect while its answer is lost; 0 for none.
     pub lose_answer_one_in: u64,
-    /// One in so many reads gives an older version; 0 none.
+    /// Every n-th read returns an older version; 0 for none.
     pub stale_read_one_in: u64,
 }
 
@@ -45,16 +45,17 @@
 struct Stored {
     version: u64,
     value: Value,
+    /// The previous versions, oldest first.
     old: Vec<Object>,
 }
 
-/// What the platform held at one time.
+/// The objects of the platform at one time.
 #[derive(Clone, Debug)]
 pub struct PlatformSnapshot {
     objects: HashMap<String, Stored>,
 }
 
-/// The stand-in.
+/// A simulated platform.
 #[derive(Debug)]
 pub struct Platform {
     objects: Mutex<HashMap<String, Stored>>,
@@ -63,23 +64,23 @@
     calls: AtomicU64,
     updates: AtomicU64,
     reads: AtomicU64,
-    busiest: Mutex<Busiest>,
+    call_rate: Mutex<CallRate>,
 }
 
-/// Calls in the current second, and in the busiest one.
+/// The number of calls in the current second, and the maximum so far.
 #[derive(Debug)]
-struct Busiest {
+struct CallRate {
     since: Instant,
     calls: u64,
-    most: u64,
+    max: u64,
 }
 
 impl Platform {
-    /// Starts it at `address`.
+    /// Starts a platform that listens on `address`.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// Returns an error if `address` cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Arc<Platform>> {
         let listener = TcpListener::bind(address).await?;
         let since = Instant::now();
@@ -90,7 +91,7 @@
             calls: AtomicU64::new(0),
             updates: AtomicU64::new(0),
             reads: AtomicU64::new(0),
-            busiest: Mutex::new(Busiest { since, calls: 0, most: 0 }),
+            call_rate: Mutex::new(CallRate { since, calls: 0, max: 0 }),
         });
         let shared = platform.clone();
         http_server::serve(listener, move |from, request| {
@@ -99,34 +100,34 @@
         Ok(platform)
     }
 
-    /// Changes what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
 
-    /// What it holds now.
+    /// Returns a snapshot of all objects.
     pub fn snapshot(&self) -> PlatformSnapshot {
         PlatformSnapshot { objects: lock(&self.objects).clone() }
     }
 
-    /// Comes back from a copy: what was written since is gone, and versions
-    /// are given out again.
-    pub fn restore(&self, copy: PlatformSnapshot) {
-        *lock(&self.objects) = copy.objects;
+    /// Restores a snapshot. Later writes are lost, and their versions are
+    /// assigned again.
+    pub fn restore(&self, snapshot: PlatformSnapshot) {
+        *lock(&self.objects) = snapshot.objects;
         self.changed.notify_waiters();
     }
 
-    /// Calls so far; a waiting watch counts as one.
+    /// Returns the number of calls so far; a waiting watch counts as one.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Calls in the busiest second.
+    /// Returns the number of calls in the second with the most calls.
     pub fn max_calls_per_s(&self) -> u64 {
-        lock(&self.busiest).most
+        lock(&self.call_rate).max
     }
 
-    /// The value and version of an object.
+    /// Returns the value and version of an object; version 0 if there is none.
     pub fn object(&self, key: &str) -> Object {
         let objects = lock(&self.objects);
         match objects.get(key) {
@@ -145,7 +146,8 @@
         self.count_call();
         let faults = lock(&self.faults).clone();
         if faults.is_down {
-            // An outage answers nothing; the client's patience ends it.
+            // The delay exceeds the clients' time-outs, so an outage looks
+            // like silence to them.
             tokio::time::sleep(Duration::from_secs(30)).await;
             return answer(StatusCode::SERVICE_UNAVAILABLE, "");
         }
@@ -168,11 +170,11 @@
     async fn get(
         &self,
         key: &str,
-        words: Option<&str>,
+        query: Option<&str>,
         faults: &Faults,
     ) -> Response<Body> {
         let number =
-            |name| query_value(words, name).and_then(|v| v.parse().ok());
+            |name| query_value(query, name).and_then(|v| v.parse().ok());
         if let Some(after) = number("after") {
             let wait = Duration::from_millis(number("wait_ms").unwrap_or(0));
             self.wait_above(key, after, wait).await;
@@ -188,6 +190,8 @@
         answer(StatusCode::OK, text)
     }
 
+    /// Waits until the version of an object is greater than `after`, for at
+    /// most `wait`. Also returns if the platform is down.
     async fn wait_above(&self, key: &str, after: u64, wait: Duration) {
         let until = tokio::time::Instant::now() + wait;
         loop {
@@ -202,6 +206,7 @@
         }
     }
 
+    /// Returns the oldest known version of an object.
     fn stale(&self, key: &str) -> Object {
         let oldest = lock(&self.objects)
             .get(key)
@@ -212,7 +217,7 @@
     async fn put(
         &self,
         key: &str,
-        words: Option<&str>,
+        query: Option<&str>,
         body: Bytes,
         faults: &Faults,
     ) -> Response<Body> {
@@ -223,7 +228,7 @@
             return answer(StatusCode::BAD_REQUEST, "");
         };
         let condition =
-            query_value(words, "if_version").and_then(|v| v.parse().ok());
+            query_value(query, "if_version").and_then(|v| v.parse().ok());
         let Some(version) = self.update(key, condition, value) else {
             return answer(StatusCode::CONFLICT, "");
         };
@@ -237,6 +242,8 @@
         answer(StatusCode::OK, text)
     }
 
+    /// Replaces the value of an object if its version is `condition`. Returns
+    /// the new version; `None` on a conflict.
     fn update(
         &self,
         key: &str,
@@ -265,12 +272,12 @@
 
     fn count_call(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let mut busiest = lock(&self.busiest);
-        if busiest.since.elapsed() >= Duration::from_secs(1) {
-            busiest.since = Instant::now();
-            busiest.calls = 0;
+        let mut rate = lock(&self.call_rate);
+        if rate.since.elapsed() >= Duration::from_secs(1) {
+            rate.since = Instant::now();
+            rate.calls = 0;
         }
-        busiest.calls += 1;
-        busiest.most = busiest.most.max(busiest.calls);
+        rate.calls += 1;
+        rate.max = rate.max.max(rate.calls);
     }
 }
