--- a/crates/raildale-testkit/src/bin/raildale-bench.rs
+++ b/crates/raildale-testkit/src/bin/raildale-bench.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! The benchmark and load simulation tool.
 
 use std::{
     future::Future,
@@ -21,56 +21,56 @@
 };
 use serde::Serialize;
 
-/// Runs experiments on real processes of raildale on loopback
+/// Runs benchmarks on real raildale processes, and load simulations
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Args {
-    /// Spread a version to many hosts while requests flow
+    /// Roll out a version to many hosts under load
     #[bpaf(command)]
     Burst(#[bpaf(external(burst_args))] BurstArgs),
-    /// Measure what processes cost, over hosts and over requests
+    /// Measure resource usage over the number of hosts and the request rate
     #[bpaf(command)]
     Capacity(#[bpaf(external(capacity_args))] CapacityArgs),
-    /// Replace every process in turn while requests flow
+    /// Replace every process in turn under load
     #[bpaf(command)]
     Rolling {
-        /// Entry hosts
+        /// Number of entry hosts
         #[bpaf(argument("N"), fallback(4), display_fallback)]
         entries: usize,
-        /// Hosts with a model engine
+        /// Number of hosts with a model engine
         #[bpaf(argument("N"), fallback(6), display_fallback)]
         hosts: usize,
     },
-    /// Change the settings by two racing operators
+    /// Change the settings concurrently as two operators
     #[bpaf(command)]
     Settings {
-        /// Entry hosts
+        /// Number of entry hosts
         #[bpaf(argument("N"), fallback(7), display_fallback)]
         entries: usize,
-        /// Hosts with a model engine
+        /// Number of hosts with a model engine
         #[bpaf(argument("N"), fallback(20), display_fallback)]
         hosts: usize,
-        /// Rounds of a second
+        /// Number of rounds of a second
         #[bpaf(argument("N"), fallback(20), display_fallback)]
         rounds: usize,
         /// Lose the platform's answer to one update in five
         lose_answers: bool,
-        /// The platform is restored from an older copy midway
+        /// Restore the platform from an older copy midway
         restores: bool,
     },
-    /// Play a load pattern on the decisions, in virtual time
+    /// Simulate a load pattern in virtual time
     #[bpaf(command)]
     Load(#[bpaf(external(load_args))] LoadArgs),
-    /// Set two results of load patterns side by side
+    /// Write a page that compares two results of load patterns
     #[bpaf(command)]
     Compare {
-        /// Where the page goes
+        /// File to write the page to
         #[bpaf(argument("HTML"))]
         page: PathBuf,
-        /// A result, as load writes it with --json
+        /// First result, as written by load --json
         #[bpaf(positional("A"))]
         first: PathBuf,
-        /// Another
+        /// Second result
         #[bpaf(positional("B"))]
         second: PathBuf,
     },
@@ -82,31 +82,31 @@
 
 #[derive(Clone, Debug, Bpaf)]
 struct BurstArgs {
-    /// Hosts with a model engine
+    /// Number of hosts with a model engine
     #[bpaf(argument("N"), fallback(12), display_fallback)]
     hosts: usize,
-    /// Size of the version
+    /// Size of the version in MiB
     #[bpaf(argument("MIB"), fallback(16), display_fallback)]
     model_mib: u64,
-    /// time or origin-bytes
+    /// What to optimise: time or origin-bytes
     #[bpaf(argument("WHAT"), fallback("origin-bytes".to_string()))]
     favour: String,
-    /// How chunks are found: swarm or origin
+    /// Distribution scheme: swarm or origin
     #[bpaf(argument("SCHEME"), fallback("swarm".to_string()))]
     scheme: String,
-    /// Entry hosts
+    /// Number of entry hosts
     #[bpaf(argument("N"), fallback(6), display_fallback)]
     entries: usize,
     /// Seed of weights and faults
     #[bpaf(argument("SEED"), fallback(1), display_fallback)]
     seed: u64,
-    /// A host's link; one that suits this machine if absent
+    /// Rate of a host's link; by default one that this machine can carry
     #[bpaf(argument("KIB_PER_S"))]
     link_kib: Option<u64>,
     /// Lines added to [link] of each agent's settings file
     #[bpaf(argument("TOML"), fallback(String::new()))]
     link_extra: String,
-    /// What goes wrong: all, or of kills,owner,stalls,corrupt,replace,outage
+    /// Faults: all, or some of kills,owner,stalls,corrupt,replace,outage
     #[bpaf(
         argument::<String>("LIST"),
         parse(|list| Fault::parse_list(&list)),
@@ -121,35 +121,35 @@
 
 #[derive(Clone, Debug, Bpaf)]
 struct CapacityArgs {
-    /// Entry hosts
+    /// Number of entry hosts
     #[bpaf(argument("N"), fallback(6), display_fallback)]
     entries: usize,
-    /// Hosts with a model engine; may be given several times
+    /// Number of hosts with a model engine; may be given several times
     #[bpaf(argument("N"))]
     hosts: Vec<usize>,
-    /// Requests a second at the first size; may be given several times
+    /// Requests per second at the first size; may be given several times
     #[bpaf(argument("N"))]
     load: Vec<u64>,
-    /// How long each is measured
+    /// Duration of each measurement in seconds
     #[bpaf(argument("S"), fallback(6), display_fallback)]
     seconds: u64,
 }
 
 #[derive(Clone, Debug, Bpaf)]
 struct LoadArgs {
-    /// Seeds to play, from 1 on
+    /// Number of seeds to simulate, from 1 on
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     seeds: u64,
     /// Write every group of the last seed as comma-separated values
     #[bpaf(argument("FILE"))]
     csv: Option<PathBuf>,
-    /// Write the last seed's result, to compare
+    /// Write the last seed's result as JSON, for compare
     #[bpaf(argument("FILE"))]
     json: Option<PathBuf>,
     /// Write a page with a plot for each seed
     #[bpaf(argument("FILE"))]
     page: Option<PathBuf>,
-    /// The pattern
+    /// Load pattern
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
@@ -166,9 +166,9 @@
         Args::Burst(args) => run_burst(args),
         Args::Capacity(args) => run_capacity(args),
         Args::Rolling { entries, hosts } => run_rolling(entries, hosts),
-        Args::Load(args) => ended(run_load(&args)),
+        Args::Load(args) => exit_code(run_load(&args)),
         Args::Compare { page, first, second } => {
-            ended(compare(&page, [&first, &second]))
+            exit_code(compare(&page, [&first, &second]))
         }
         Args::Settings { entries, hosts, rounds, lose_answers, restores } => {
             run_settings(RaceConfig {
@@ -201,7 +201,7 @@
     };
     run(burst::run(&config), |report| {
         if !args.json {
-            summary(report);
+            print_summary(report);
         }
         print_json(report);
         burst_holds(report)
@@ -269,24 +269,24 @@
     Ok(())
 }
 
-fn ended(result: anyhow::Result<()>) -> ExitCode {
+fn exit_code(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => fail(&error),
     }
 }
 
-/// Runs an experiment; what must always hold decides the exit code, figures
-/// do not.
+/// Runs a benchmark. The exit code depends on `holds`, which checks what must
+/// always be true, and not on the measured figures.
 fn run<T>(
-    experiment: impl Future<Output = anyhow::Result<T>>,
+    benchmark: impl Future<Output = anyhow::Result<T>>,
     holds: impl FnOnce(&T) -> bool,
 ) -> ExitCode {
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => return fail(&error.into()),
     };
-    match runtime.block_on(experiment) {
+    match runtime.block_on(benchmark) {
         Ok(report) if holds(&report) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(error) => fail(&error),
@@ -294,18 +294,19 @@
 }
 
 fn this_program() -> PathBuf {
-    std::env::current_exe().expect("this program has a path")
+    std::env::current_exe().expect("the path of this executable is known")
 }
 
 fn print_json(report: &impl Serialize) {
     let json = serde_json::to_string(report);
-    println!("{}", json.expect("a report is plain data"));
+    println!("{}", json.expect("a report can be serialized"));
 }
 
-fn summary(report: &BurstReport) {
+/// Prints a summary to standard error.
+fn print_summary(report: &BurstReport) {
     eprintln!(
         "{}/{} hosts serve the new version after {:.1} s: {:.2} times the \
-         floor.\nThe origin gave {:.3} copies; each further data centre took \
+         floor.\nThe origin sent {:.3} copies; each further data centre got \
          {:.3}.\n{} requests meanwhile: {} whole, {} refused as not run, {} \
          unknown, {} doubled, {} cut, {} crossed.",
         report.hosts_ready,
@@ -324,12 +325,14 @@
     );
 }
 
+/// Returns whether every host serves the new version and no rule was broken.
 fn burst_holds(report: &BurstReport) -> bool {
     report.hosts_ready == report.hosts
         && report.partial_served == 0
         && tally_holds(&report.tally)
 }
 
+/// Returns whether no request got a wrong outcome.
 fn tally_holds(tally: &Tally) -> bool {
     tally.requests_doubled == 0
         && tally.requests_cut == 0
