--- a/crates/raildale-testkit/tests/bad_input.rs
+++ b/crates/raildale-testkit/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: a clear numbered answer, nothing lost, the process stays up.
+//! Invalid input is refused with its code, and the process keeps serving.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,6 +20,7 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
+/// A request and the code that refuses it.
 struct Case {
     name: &'static str,
     method: Method,
@@ -44,16 +45,16 @@
 fn cases() -> Vec<Case> {
     let submit = || (Method::POST, "/v1/requests");
     let apply = || (Method::PUT, "/admin/v1/settings");
-    let ask = "{\"model\":\"commentary\",\"prompt\":\"x\"}";
+    let question = "{\"model\":\"commentary\",\"prompt\":\"x\"}";
     let large = format!("{{\"prompt\":\"{}\"}}", "x".repeat(2 << 20));
     let unknown_model = "{\"model\":\"nothing\",\"prompt\":\"x\"}";
     let others_model = "{\"model\":\"tickets\",\"prompt\":\"x\"}";
     let forged =
         "{\"model\":\"commentary\",\"run_key\":\"rk1.host-0.1.1.1.0\"}";
     vec![
-        Case::new("no key", submit(), "", ask, Code::Unauthorised),
-        Case::new("wrong key", submit(), "no", ask, Code::Unauthorised),
-        Case::new("no JSON", submit(), CLUB_KEY, "{", Code::Malformed),
+        Case::new("no key", submit(), "", question, Code::Unauthorised),
+        Case::new("wrong key", submit(), "no", question, Code::Unauthorised),
+        Case::new("not JSON", submit(), CLUB_KEY, "{", Code::Malformed),
         Case::new(
             "unknown field",
             submit(),
@@ -62,7 +63,7 @@
             Code::Malformed,
         ),
         Case::new(
-            "unknown class",
+            "unknown priority",
             submit(),
             CLUB_KEY,
             "{\"model\":\"commentary\",\"priority\":\"now\"}",
@@ -91,21 +92,21 @@
             Code::RunKeyInvalid,
         ),
         Case::new(
-            "forged run key asked about",
+            "status of a forged run key",
             (Method::GET, "/v1/runs/rk1.host-0.1.1.1.0"),
             CLUB_KEY,
             "",
             Code::RunKeyInvalid,
         ),
         Case::new(
-            "settings without a key",
+            "settings without the admin key",
             apply(),
             CLUB_KEY,
             "",
             Code::Unauthorised,
         ),
         Case::new(
-            "settings that are no TOML",
+            "settings that are not TOML",
             apply(),
             BOOTSTRAP_KEY,
             "[rules",
@@ -126,7 +127,7 @@
             Code::SettingsInvalid,
         ),
         Case::new(
-            "settings on an old base",
+            "settings on top of an old revision",
             (Method::PUT, "/admin/v1/settings?expected=0"),
             BOOTSTRAP_KEY,
             "",
@@ -152,21 +153,21 @@
         .uri(format!("http://{address}{}", case.path))
         .header("authorization", format!("Bearer {}", case.key))
         .body(Full::new(Bytes::from(case.body.clone())))
-        .expect("the parts are sound");
-    let response = http.open(request).await.expect("it answers");
+        .expect("the request is valid");
+    let response = http.open(request).await.expect("an answer");
     let status = response.status().as_u16();
-    let body = response.into_body().collect().await.expect("it is whole");
+    let body = response.into_body().collect().await.expect("a whole body");
     let value = serde_json::from_slice(&body.to_bytes()).expect("JSON");
     (status, value)
 }
 
-/// Sends raw frames to an entry host's port for processes; returns the code
-/// of its refusal.
-async fn speak(address: SocketAddr, frames: Vec<Bytes>) -> Option<u32> {
+/// Sends raw frames to an entry host's port for processes. Returns the code of
+/// its refusal; `None` if no refusal arrives.
+async fn refusal_code(address: SocketAddr, frames: Vec<Bytes>) -> Option<u32> {
     let stream = TcpStream::connect(address).await.expect("it listens");
     let mut framed = Framed::new(stream, codec::splitter());
     for frame in frames {
-        framed.send(frame).await.expect("it reads");
+        framed.send(frame).await.expect("it is sent");
     }
     while let Ok(Some(Ok(bytes))) =
         tokio::time::timeout(Duration::from_secs(10), framed.next()).await
@@ -179,10 +180,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_is_refused_by_number() {
+async fn invalid_input_is_refused_with_its_code() {
     let program = env!("CARGO_BIN_EXE_raildale-bench");
     let config = FleetConfig::new(program, 1, 1);
-    let serving = ServingFleet::start(config, 100).await.expect("it comes up");
+    let serving =
+        ServingFleet::start(config, 100).await.expect("the fleet comes up");
     let fleet = &serving.fleet;
     let address = fleet.http_addresses()[0];
     let http = HttpClient::new(None);
@@ -194,26 +196,30 @@
 
     let inner = SocketAddr::new(address.ip(), 7000);
     let garbage = Bytes::from_static(b"\xff\xff\xff\xff");
-    let code = speak(inner, vec![garbage]).await;
+    let code = refusal_code(inner, vec![garbage]).await;
     assert_eq!(code, Some(Code::BadFrame.number()), "garbage");
-    let old = Frame { version: 99, body: None }.encode_to_vec();
-    let code = speak(inner, vec![old.into()]).await;
-    assert_eq!(code, Some(Code::ProtocolVersion.number()), "a version");
+    let unknown = Frame { version: 99, body: None }.encode_to_vec();
+    let code = refusal_code(inner, vec![unknown.into()]).await;
+    assert_eq!(
+        code,
+        Some(Code::ProtocolVersion.number()),
+        "an unknown protocol version"
+    );
     let hello = codec::encode(Body::Hello(Default::default()));
     let hello = hello.slice(codec::LENGTH_BYTES..);
     let proof = codec::encode(Body::Proof(Default::default()));
     let proof = proof.slice(codec::LENGTH_BYTES..);
-    let code = speak(inner, vec![hello, proof]).await;
+    let code = refusal_code(inner, vec![hello, proof]).await;
     assert_eq!(code, Some(Code::ForeignCluster.number()), "a foreign peer");
 
-    // Nothing was lost: a sound request is answered as before.
-    let sound = Case::new(
-        "sound",
+    // The process still answers a valid request.
+    let valid = Case::new(
+        "valid",
         (Method::POST, "/v1/requests"),
         CLUB_KEY,
         "{\"model\":\"commentary\",\"prompt\":\"x\",\"max_tokens\":2}",
         Code::Done,
     );
-    let (_, value) = send(&http, address, &sound).await;
+    let (_, value) = send(&http, address, &valid).await;
     assert_eq!(value["code"], Code::Done.number());
 }
