--- a/crates/raildale-testkit/tests/burst.rs
+++ b/crates/raildale-testkit/tests/burst.rs
@@ -1,4 +1,4 @@
-//! A whole burst on real processes, small enough for CI.
+//! Bursts on fleets of real processes, small enough for CI.
 
 use raildale_testkit::bench::{
     burst::{self, BurstConfig},
@@ -23,7 +23,7 @@
     }
 }
 
-/// Counts and bytes are bounded here, never time: CI's machine is busy.
+/// Only counts and bytes are bounded, not times, since CI machines are busy.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_host_serves_and_every_answer_is_whole() {
     let report = burst::run(&config()).await.expect("the fleet comes up");
@@ -38,11 +38,12 @@
     assert_eq!(report.tally.requests_not_run_lies, 0);
 }
 
-/// Hosts and the tracker's owner killed, links stalled, chunks corrupted, the
-/// version replaced midway, the platform silent: every survivor serves the
-/// right version, and never from a part of one.
+/// A host and the entry host that tracks the spread are killed, links stall,
+/// chunks are corrupted, the version is replaced midway and the platform does
+/// not answer. Every surviving host serves the right version, and never from
+/// incomplete weights.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_burst_ends_whole_through_every_fault() {
+async fn a_burst_completes_despite_all_faults() {
     let mut config = config();
     config.hosts = 9;
     config.faults = Fault::ALL.to_vec();
