--- a/crates/raildale-testkit/tests/large_bodies.rs
+++ b/crates/raildale-testkit/tests/large_bodies.rs
@@ -1,5 +1,5 @@
-//! A body over the limit gets its numbered answer, and so does what the same
-//! caller sends next.
+//! A request body over the size limit is refused with its code, and so is the
+//! next request of the same caller.
 
 use std::net::SocketAddr;
 
@@ -13,28 +13,29 @@
     fleet::FleetConfig,
 };
 
-/// Bytes of a body: twice the limit of the callers' API.
+/// The size of a body in bytes: twice the limit of the callers' API.
 const BODY_BYTES: usize = 2 << 20;
 
-/// Pairs of calls in a row.
+/// The number of pairs of requests.
 const ROUNDS: usize = 200;
 
 async fn post(http: &HttpClient, address: SocketAddr, body: Bytes) -> u16 {
     let request = Request::post(format!("http://{address}/v1/requests"))
         .header("authorization", format!("Bearer {CLUB_KEY}"))
         .body(Full::new(body))
-        .expect("the parts are sound");
-    let response = http.open(request).await.expect("it answers");
+        .expect("the request is valid");
+    let response = http.open(request).await.expect("an answer");
     let status = response.status().as_u16();
-    response.into_body().collect().await.expect("it is whole");
+    response.into_body().collect().await.expect("a whole body");
     status
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_body_gets_its_answer() {
+async fn a_large_body_is_refused_with_its_code() {
     let program = env!("CARGO_BIN_EXE_raildale-bench");
     let config = FleetConfig::new(program, 1, 1);
-    let serving = ServingFleet::start(config, 100).await.expect("it comes up");
+    let serving =
+        ServingFleet::start(config, 100).await.expect("the fleet comes up");
     let address = serving.fleet.http_addresses()[0];
     let http = HttpClient::new(None);
     let large = Bytes::from(vec![b'x'; BODY_BYTES]);
