--- a/crates/raildale-testkit/tests/load.rs
+++ b/crates/raildale-testkit/tests/load.rs
@@ -1,5 +1,5 @@
-//! Load patterns, replayed on the decisions. Each bounds counts that a gain
-//! rests on; everything is drawn from fixed seeds, in virtual time.
+//! Simulations of the load patterns in `deploy/loads`, in virtual time and
+//! with fixed seeds. Each test bounds the results of one pattern.
 
 use std::path::Path;
 
@@ -14,13 +14,13 @@
     Pattern::read(&path).expect("a load pattern")
 }
 
-fn played(file: &str) -> Vec<LoadResult> {
+fn simulated(file: &str) -> Vec<LoadResult> {
     let pattern = pattern(file);
     SEEDS.map(|seed| load::simulate(&pattern, seed)).collect()
 }
 
-/// What all seeds of a pattern come to: shares of the requests answered in
-/// time and late, the credit, and that of the worst route.
+/// Means over all seeds of a pattern: the shares of the requests answered in
+/// time and late, the credit, and the credit of the worst route.
 struct Mean {
     in_time: f64,
     late: f64,
@@ -44,50 +44,51 @@
     }
 }
 
-/// 30% more than the targets can answer. While all entry hosts went by the
-/// same late reports, 46 of 100 were answered in time and 25 late: they had
-/// waited in targets that looked free to everybody. While each that waited
-/// looked for a target on its own, the route with the shortest goal got 0.47
-/// of its credit, and the others 0.7.
+/// 30% more load than the targets can answer. When all entry hosts act on the
+/// same delayed reports, only 46 of 100 requests are answered in time and 25
+/// late, since they wait in targets that look free to every entry host. When
+/// each waiting request looks for a target on its own, the route with the
+/// shortest goal gets 0.47 of its credit, and the others 0.7.
 #[test]
-fn an_overload_does_not_make_late_what_is_answered() {
-    let mean = mean_of(&played("overload.toml"));
+fn an_overload_does_not_make_answers_late() {
+    let mean = mean_of(&simulated("overload.toml"));
     assert!(mean.in_time >= 0.59, "{}", mean.in_time);
     assert!(mean.late <= 0.17, "{}", mean.late);
     assert!(mean.worst_route >= 0.61, "{}", mean.worst_route);
 }
 
-/// Each of 20 targets changes over within two seconds, at 60% load. While
-/// each that came back was sent as much as it has slots at once, 14 of 100
-/// were late: it reads their prompts one after the other.
+/// Each of 20 targets is replaced within two seconds, at 60% load. When a
+/// returning target is sent as many requests at once as it has slots, 14 of
+/// 100 are late, since it reads their prompts one after the other.
 #[test]
-fn targets_that_come_back_are_not_flooded() {
-    let mean = mean_of(&played("change-over.toml"));
+fn returning_targets_are_not_flooded() {
+    let mean = mean_of(&simulated("change-over.toml"));
     assert!(mean.late <= 0.12, "{}", mean.late);
     assert!(mean.credit >= 0.895, "{}", mean.credit);
 }
 
-/// All targets are lost and come back 3 s later: what comes from then on is
-/// in time, whatever waited.
+/// All targets are lost and return 3 s later. Requests that arrive after that
+/// are answered in time, regardless of those that waited.
 #[test]
-fn what_waits_for_a_refill_does_not_make_the_next_late() {
-    let mean = mean_of(&played("refill.toml"));
+fn requests_after_an_outage_of_all_targets_are_in_time() {
+    let mean = mean_of(&simulated("refill.toml"));
     assert!(mean.late <= 0.08, "{}", mean.late);
     assert!(mean.credit >= 0.675, "{}", mean.credit);
 }
 
-/// A third of the targets is away for 6 s, and the rest has to do.
+/// A third of the targets, those of one data centre, is absent for 6 s. The
+/// other data centres answer its requests.
 #[test]
-fn a_data_centre_that_is_short_gets_help_from_the_others() {
-    let mean = mean_of(&played("short.toml"));
+fn a_data_centre_without_targets_uses_the_others() {
+    let mean = mean_of(&simulated("short.toml"));
     assert!(mean.credit >= 0.83, "{}", mean.credit);
     assert!(mean.worst_route >= 0.79, "{}", mean.worst_route);
 }
 
-/// The entries of all targets are lost twice, and written again within the time
-/// in which the platform's users have them back.
+/// The entries of all targets are lost twice, and written again within the
+/// time that the platform documents for this.
 #[test]
-fn restores_of_the_store_cost_callers_nothing() {
+fn store_restores_do_not_affect_callers() {
     let restored = pattern("restores.toml");
     let calm = Pattern { restores: Vec::new(), ..restored.clone() };
     for seed in SEEDS {
@@ -98,36 +99,37 @@
     }
 }
 
-/// A third of the callers come back at once, three times, whatever they are
-/// told: the others get their answers all the same.
+/// A third of the callers retry immediately, three times, regardless of the
+/// retry time given to them. The others get their answers nevertheless.
 #[test]
-fn callers_that_repeat_do_not_take_the_place_of_others() {
-    let mean = mean_of(&played("repeaters.toml"));
+fn immediate_retries_do_not_displace_other_callers() {
+    let mean = mean_of(&simulated("repeaters.toml"));
     assert!(mean.credit >= 0.79, "{}", mean.credit);
     assert!(mean.worst_route >= 0.74, "{}", mean.worst_route);
 }
 
-/// A third more than 120 targets before 149 entry hosts can answer. While all
-/// of these went for the slots that one report had shown free, half of the
-/// streams were late, having waited in targets.
+/// A third more load than 120 targets with 149 entry hosts can answer. When
+/// all entry hosts use the slots that one report shows as free, half of the
+/// streams are late, since they wait in targets.
 #[test]
-fn free_slots_are_not_given_to_everybody_at_once() {
-    let mean = mean_of(&played("large-overload.toml"));
+fn entry_hosts_do_not_all_use_the_same_free_slots() {
+    let mean = mean_of(&simulated("large-overload.toml"));
     assert!(mean.late <= 0.27, "{}", mean.late);
     assert!(mean.credit >= 0.66, "{}", mean.credit);
     assert!(mean.worst_route >= 0.61, "{}", mean.worst_route);
 }
 
-/// 204 targets nearly full: each entry host has seven requests a second.
+/// 204 targets near their capacity. Each entry host gets seven requests per
+/// second.
 #[test]
 fn a_busy_large_fleet_answers_in_time() {
-    let mean = mean_of(&played("large-busy.toml"));
+    let mean = mean_of(&simulated("large-busy.toml"));
     assert!(mean.late <= 0.05, "{}", mean.late);
     assert!(mean.credit >= 0.96, "{}", mean.credit);
 }
 
-/// The share of the requests of some seconds that was answered in time, over
-/// all seeds.
+/// Returns the share of the requests in a range of seconds that was answered
+/// in time, over all seeds.
 fn in_time_share(
     results: &[LoadResult],
     seconds: std::ops::Range<usize>,
@@ -139,25 +141,25 @@
     of(|share| share.in_time) / of(|share| share.asked).max(1.0)
 }
 
-/// A third more than the targets can answer, to the end. While 41 entry hosts
-/// all went for the slots that one report had shown free, 34 in 100 were in
-/// time at the end.
+/// A third more load than the targets can answer, until the end. When all 41
+/// entry hosts use the slots that one report shows as free, only 34 in 100
+/// requests are answered in time at the end.
 #[test]
-fn an_overload_that_lasts_gets_no_worse() {
-    let results = played("mid-overload.toml");
+fn a_lasting_overload_does_not_get_worse() {
+    let results = simulated("mid-overload.toml");
     let first = in_time_share(&results, 9..13);
     let last = in_time_share(&results, 28..32);
     assert!(last >= first * 0.9, "{first} of the first, {last} of the last");
 }
 
-/// Twelve seconds of such an overload, the first of which finds slots free:
-/// what comes after it is in time again.
+/// Twelve seconds of such an overload, which begins while slots are free.
+/// Requests that arrive after it are answered in time again.
 #[parameterized(
     small = { "small-burst.toml" },
     mid = { "mid-burst.toml" },
 )]
-fn a_burst_leaves_nothing_behind(file: &str) {
-    let results = played(file);
+fn requests_after_a_burst_are_in_time(file: &str) {
+    let results = simulated(file);
     let first = in_time_share(&results, 7..11);
     let last = in_time_share(&results, 14..18);
     assert!(last >= first * 0.9, "{first} of the first, {last} of the last");
@@ -166,10 +168,11 @@
 }
 
 #[test]
-fn a_pattern_that_cannot_be_played_is_refused_by_number() {
+fn an_invalid_pattern_is_refused_with_its_code() {
     let path = Path::new("no such pattern.toml");
-    let unread = Pattern::read(path).expect_err("there is none");
-    assert!(unread.to_string().starts_with("1401 "), "{unread}");
-    let malformed = "name = 3".parse::<Pattern>().expect_err("no pattern");
+    let unreadable = Pattern::read(path).expect_err("the file does not exist");
+    assert!(unreadable.to_string().starts_with("1401 "), "{unreadable}");
+    let malformed =
+        "name = 3".parse::<Pattern>().expect_err("it is not a pattern");
     assert!(malformed.to_string().starts_with("1402 "), "{malformed}");
 }
