--- a/crates/raildale-testkit/tests/rolling.rs
+++ b/crates/raildale-testkit/tests/rolling.rs
@@ -1,9 +1,9 @@
-//! A planned stop of every process cuts nothing.
+//! Planned restarts of all processes do not cut any answer.
 
 use raildale_testkit::bench::rolling::{self, RollingConfig};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_process_is_replaced_and_nothing_is_cut() {
+async fn rolling_replacement_cuts_no_answer() {
     let config = RollingConfig {
         program: env!("CARGO_BIN_EXE_raildale-bench").into(),
         entries: 2,
