--- a/crates/raildale-testkit/tests/settings.rs
+++ b/crates/raildale-testkit/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Racing operators: one wins, nothing is lost, doubled or taken back.
+//! Concurrent changes of the settings: exactly one is accepted, and none is
+//! lost, duplicated or reverted.
 
 use raildale_testkit::bench::settings_race::{self, RaceConfig};
 use yare::parameterized;
@@ -8,7 +9,10 @@
     answers_are_lost = { true, false },
     the_platform_is_restored = { false, true },
 )]
-fn of_two_racing_changes_one_wins(lose_answers: bool, restores: bool) {
+fn one_of_two_concurrent_changes_is_accepted(
+    lose_answers: bool,
+    restores: bool,
+) {
     let config = RaceConfig {
         program: env!("CARGO_BIN_EXE_raildale-bench").into(),
         entries: 3,
@@ -18,8 +22,9 @@
         restores,
     };
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let report =
-        runtime.block_on(settings_race::run(&config)).expect("it comes up");
+    let report = runtime
+        .block_on(settings_race::run(&config))
+        .expect("the fleet comes up");
     println!("{report:?}");
     assert_eq!(report.accepted, 6);
     assert_eq!(report.conflicts, 6);
