--- a/crates/raildale-testkit/tests/spans.rs
+++ b/crates/raildale-testkit/tests/spans.rs
@@ -1,4 +1,4 @@
-//! A span for each hop, in the caller's own trace.
+//! Each hop logs a span in the caller's trace.
 
 use std::{path::Path, time::Duration};
 
@@ -15,7 +15,7 @@
 const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
 const CALLER_SPAN: &str = "b7ad6b7169203331";
 
-/// The span that a process wrote into its log for our trace.
+/// Returns the span in a process's log that belongs to [`TRACE`].
 fn span(folder: &Path, process: &str) -> Option<Value> {
     let path = folder.join(format!("{process}.log"));
     let text = std::fs::read_to_string(path).ok()?;
@@ -26,10 +26,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_hop_writes_a_span_under_the_one_before() {
+async fn each_hop_logs_a_child_span_of_the_previous_hop() {
     let program = env!("CARGO_BIN_EXE_raildale-bench");
     let config = FleetConfig::new(program, 1, 1).with_spans();
-    let serving = ServingFleet::start(config, 100).await.expect("it comes up");
+    let serving =
+        ServingFleet::start(config, 100).await.expect("the fleet comes up");
     let fleet = &serving.fleet;
     let address = fleet.http_addresses()[0];
     let request = Request::post(format!("http://{address}/v1/requests"))
@@ -38,18 +39,18 @@
         .body(Full::new(Bytes::from(
             "{\"model\":\"commentary\",\"prompt\":\"x\",\"max_tokens\":2}",
         )))
-        .expect("the parts are sound");
+        .expect("the request is valid");
     let response = HttpClient::new(None).open(request).await;
-    let body = response.expect("it answers").into_body().collect().await;
+    let body = response.expect("an answer").into_body().collect().await;
     assert!(body.is_ok());
     let folder = fleet.folder();
     let has_both = wait_until(Duration::from_secs(60), async || {
         span(folder, "entry-0").is_some() && span(folder, "host-0").is_some()
     })
     .await;
-    assert!(has_both, "a hop wrote no span");
-    let entry = span(folder, "entry-0").expect("it is there");
-    let agent = span(folder, "host-0").expect("it is there");
+    assert!(has_both, "a hop logged no span");
+    let entry = span(folder, "entry-0").expect("a span");
+    let agent = span(folder, "host-0").expect("a span");
     assert_eq!(entry["span"], "entry.request");
     assert_eq!(entry["parent_id"], CALLER_SPAN);
     assert_eq!(agent["span"], "agent.run");
