--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -63,7 +63,7 @@
     /// A pass of a target's engine ends: the target and its incarnation.
     PassEnded(usize, u32),
     /// An event of an attempt reaches its entry host.
-    EventReceived { attempt: usize, is_last: bool },
+    OutputReceived { attempt: usize, is_last: bool },
     /// An entry host learns how an attempt ended without an answer.
     AttemptFailed(usize, Outcome),
     /// The regular report of an agent is due: the target.
@@ -318,8 +318,8 @@
             Event::PassEnded(target, incarnation) => {
                 self.on_pass_ended(target, incarnation)
             }
-            Event::EventReceived { attempt, is_last } => {
-                self.on_event_received(attempt, is_last);
+            Event::OutputReceived { attempt, is_last } => {
+                self.on_output_received(attempt, is_last);
             }
             Event::AttemptFailed(attempt, outcome) => {
                 self.on_attempt_failed(attempt, outcome)
@@ -552,13 +552,13 @@
             let is_last = written.is_last;
             self.schedule(
                 latency_ms,
-                Event::EventReceived { attempt, is_last },
+                Event::OutputReceived { attempt, is_last },
             );
         }
         self.begin_pass(target);
     }
 
-    fn on_event_received(&mut self, attempt: usize, is_last: bool) {
+    fn on_output_received(&mut self, attempt: usize, is_last: bool) {
         let now_ms = self.clock_ms();
         let known = &mut self.attempts[attempt];
         if known.is_over {
