--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -178,7 +178,7 @@
         let left_ms = head.deadline_ms.unwrap_or(route.timeout_ms);
         let held_ms = left_ms.min(route.timeout_ms);
         let host_count = self.known_entry_hosts;
-        self.budget(&service.name).note_request(host_count);
+        self.budget(&service.name).record_request(host_count);
         self.arrivals.add(now_ms, 1.0);
         Ok(Admission {
             fingerprint: None,
@@ -275,17 +275,17 @@
             let refusal = self.give_up(request, Code::TargetBusy);
             return Next::Refuse(refusal.with_obstacle(Obstacle::Budget));
         }
-        self.wait_queues.note_sent(now_ms, request);
+        self.wait_queues.record_sent(now_ms, request);
         if !is_repeat {
             request.sent_ms = now_ms;
         }
         request.has_begun = false;
         request.tried.push(dispatch.target.clone());
         request.sent_to = Some(start);
-        self.targets.note_sent(&dispatch.target);
+        self.targets.record_sent(&dispatch.target);
         self.targets.use_token(now_ms, &dispatch.target);
         if let Some(fingerprint) = request.fingerprint {
-            self.quarantine.note_sent(fingerprint);
+            self.quarantine.record_sent(fingerprint);
         }
         Next::Send(dispatch)
     }
@@ -323,7 +323,7 @@
         for end in &ends {
             let at_ms = end.at_ms.unwrap_or(now_ms);
             let target_count = self.targets.count(&end.service);
-            self.quarantine.note_start_ended(
+            self.quarantine.record_start_ended(
                 now_ms,
                 end.start,
                 at_ms,
--- a/crates/raildale-core/src/gateway/event_stream.rs
+++ b/crates/raildale-core/src/gateway/event_stream.rs
@@ -22,14 +22,14 @@
     /// Adds bytes and returns the whole events that they complete, if any.
     pub fn push(&mut self, data: Bytes) -> Option<Bytes> {
         if self.pending.is_empty() && data.ends_with(b"\n\n") {
-            self.note_ids(&data);
+            self.update_last_id(&data);
             return Some(data);
         }
         let from = self.pending.len().saturating_sub(1);
         self.pending.extend_from_slice(&data);
         let end = last_event_end(&self.pending, from)?;
         let whole = self.pending.split_to(end).freeze();
-        self.note_ids(&whole);
+        self.update_last_id(&whole);
         Some(whole)
     }
 
@@ -55,7 +55,7 @@
         self.pending.clear();
     }
 
-    fn note_ids(&mut self, whole: &[u8]) {
+    fn update_last_id(&mut self, whole: &[u8]) {
         let id = whole
             .rsplit(|byte| *byte == b'\n')
             .find_map(|line| line.strip_prefix(b"id:"));
--- a/crates/raildale-core/src/gateway/notices/gossip.rs
+++ b/crates/raildale-core/src/gateway/notices/gossip.rs
@@ -68,7 +68,7 @@
             known.is_reported_leaving = true;
             changes.push(NoticeChange::Leaving);
         }
-        known.limit.note_other(now_ms, from, received.sent_lately);
+        known.limit.record_other(now_ms, from, received.sent_lately);
         if !is_known {
             let stated_ms = now_ms.saturating_sub(received.age_ms);
             changes.extend(known.limit.update(
--- a/crates/raildale-core/src/gateway/notices/limit.rs
+++ b/crates/raildale-core/src/gateway/notices/limit.rs
@@ -101,7 +101,7 @@
 
     /// Records how many requests the entry host at `from` has sent to the
     /// start.
-    pub(super) fn note_other(
+    pub(super) fn record_other(
         &mut self,
         now_ms: u64,
         from: IpAddr,
@@ -117,7 +117,7 @@
 
     /// Handles a change of the time of day to `now_s`. If the clock was set
     /// back, tokens are not delayed until it has caught up.
-    pub(super) fn note_time_of_day(&mut self, now_s: f64) {
+    pub(super) fn record_time_of_day(&mut self, now_s: f64) {
         self.used_s = self.used_s.min(now_s);
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Uses a token for a request.
-    pub(super) fn note_sent(
+    pub(super) fn record_sent(
         &mut self,
         now_s: f64,
         start: StartId,
--- a/crates/raildale-core/src/gateway/notices/mod.rs
+++ b/crates/raildale-core/src/gateway/notices/mod.rs
@@ -98,7 +98,7 @@
         self.time_of_day_ms = unix_ms as i64 - now_ms as i64;
         let now_s = self.time_of_day_s(now_ms);
         for known in self.by_start.values_mut() {
-            known.limit.note_time_of_day(now_s);
+            known.limit.record_time_of_day(now_s);
         }
     }
 
@@ -126,7 +126,7 @@
     /// An answer without a limit ends a limit only if its request was sent
     /// after the limit was last stated, since answers may overtake one
     /// another. A start that is leaving stays so.
-    pub fn note(
+    pub fn record(
         &mut self,
         now_ms: u64,
         start: StartId,
@@ -209,7 +209,7 @@
     }
 
     /// Counts a request sent to a start.
-    pub fn note_sent(
+    pub fn record_sent(
         &mut self,
         now_ms: u64,
         start: StartId,
@@ -218,7 +218,7 @@
         self.sent.entry(start).or_default().add(now_ms);
         let now_s = self.time_of_day_s(now_ms);
         if let Some(known) = self.by_start.get_mut(&start) {
-            known.limit.note_sent(now_s, start, part);
+            known.limit.record_sent(now_s, start, part);
         }
     }
 
--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -41,7 +41,7 @@
 impl Gateway {
     /// Records that a request has begun at a target, `took_ms` after it was
     /// sent.
-    pub fn note_begun(
+    pub fn record_begun(
         &mut self,
         now_ms: u64,
         request: &mut Admission,
@@ -51,12 +51,12 @@
         if std::mem::replace(&mut request.has_begun, true) {
             return;
         }
-        self.targets.note_begun(target);
+        self.targets.record_begun(target);
         // A resumed stream is left out: its target also has to read what was
         // already generated.
         if request.tried.len() == 1 {
             let service = &request.service.name;
-            self.wait_queues.note_first_event(now_ms, service, took_ms);
+            self.wait_queues.record_first_event(now_ms, service, took_ms);
         }
     }
 
@@ -70,7 +70,7 @@
         outcome: Outcome,
     ) -> bool {
         let has_begun = request.has_begun;
-        self.targets.note_ended(now_ms, target, outcome, has_begun);
+        self.targets.record_ended(now_ms, target, outcome, has_begun);
         self.update_quarantine(now_ms, request, outcome);
         match outcome {
             Outcome::Whole | Outcome::Withdrawn => false,
@@ -94,15 +94,15 @@
         outcome: Outcome,
     ) {
         let Some(fingerprint) = request.fingerprint else { return };
-        self.quarantine.note_try_ended(fingerprint);
+        self.quarantine.record_attempt_ended(fingerprint);
         let Some(start) = request.sent_to else { return };
         match outcome {
             Outcome::Broken => {
-                self.quarantine.note_broken(now_ms, fingerprint, start);
+                self.quarantine.record_broken(now_ms, fingerprint, start);
             }
             Outcome::NobodyThere => {
                 let target_count = self.targets.count(&request.service.name);
-                self.quarantine.note_refused_connection(
+                self.quarantine.record_refused_connection(
                     now_ms,
                     start,
                     target_count,
@@ -117,9 +117,9 @@
     }
 
     /// Records that a target answered a request completely and successfully.
-    pub fn note_answered(&mut self, now_ms: u64, request: &Admission) {
+    pub fn record_answered(&mut self, now_ms: u64, request: &Admission) {
         if let Some(fingerprint) = request.fingerprint {
-            self.quarantine.note_answered(now_ms, fingerprint);
+            self.quarantine.record_answered(now_ms, fingerprint);
         }
     }
 
@@ -132,8 +132,8 @@
         fingerprint: Fingerprint,
     ) {
         let outcome = Outcome::Withdrawn;
-        self.targets.note_ended(now_ms, target, outcome, has_begun);
-        self.quarantine.note_try_ended(fingerprint);
+        self.targets.record_ended(now_ms, target, outcome, has_begun);
+        self.quarantine.record_attempt_ended(fingerprint);
     }
 
     /// Returns whether a request that has not begun at a target must be
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -221,12 +221,12 @@
     }
 
     /// Records that a try was sent to a target.
-    pub fn note_sent(&mut self, fingerprint: Fingerprint) {
+    pub fn record_sent(&mut self, fingerprint: Fingerprint) {
         *self.in_flight.entry(fingerprint).or_default() += 1;
     }
 
     /// Records that a try has ended with any outcome.
-    pub fn note_try_ended(&mut self, fingerprint: Fingerprint) {
+    pub fn record_attempt_ended(&mut self, fingerprint: Fingerprint) {
         let Some(count) = self.in_flight.get_mut(&fingerprint) else { return };
         *count -= 1;
         if *count == 0 {
@@ -235,7 +235,7 @@
     }
 
     /// Records that a try broke off at a start of a target.
-    pub fn note_broken(
+    pub fn record_broken(
         &mut self,
         now_ms: u64,
         fingerprint: Fingerprint,
@@ -253,7 +253,7 @@
     /// Records evidence, observed at `at_ms`, that a start has ended, one of
     /// `target_count` targets of its service. The start ended when the first
     /// attempt broke off there, if one did.
-    pub fn note_start_ended(
+    pub fn record_start_ended(
         &mut self,
         now_ms: u64,
         start: StartId,
@@ -274,7 +274,7 @@
         let at_ms = broke_ms.into_iter().min().unwrap_or(at_ms);
         let end = End { start, at_ms, target_count };
         self.ends.push_back(end);
-        self.note_cut(end);
+        self.mark_cut(end);
         for fingerprint in lost {
             self.add_loss(now_ms, fingerprint, end);
         }
@@ -285,20 +285,20 @@
     /// `target_count` targets of its service. The start has ended if an
     /// attempt broke off there shortly before; otherwise, it may not be up
     /// yet.
-    pub fn note_refused_connection(
+    pub fn record_refused_connection(
         &mut self,
         now_ms: u64,
         start: StartId,
         target_count: u32,
     ) {
         if self.broken.iter().any(|broken| broken.start == start) {
-            self.note_start_ended(now_ms, start, now_ms, target_count);
+            self.record_start_ended(now_ms, start, now_ms, target_count);
         }
     }
 
     /// Records that a target answered a request completely and successfully.
     /// The target is alive, so the request doesn't crash targets.
-    pub fn note_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) {
+    pub fn record_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) {
         self.broken.retain(|broken| broken.fingerprint != fingerprint);
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
@@ -310,7 +310,7 @@
 
     /// Lifts a quarantine whose record was deleted.
     pub fn lift(&mut self, now_ms: u64, fingerprint: Fingerprint) {
-        self.note_answered(now_ms, fingerprint);
+        self.record_answered(now_ms, fingerprint);
     }
 
     /// Returns the changes of culprits since the last call.
@@ -371,12 +371,12 @@
 
     /// Marks the losses at about the time of an end as lost in a cut, if that
     /// end makes it one.
-    fn note_cut(&mut self, end: End) {
+    fn mark_cut(&mut self, end: End) {
         if !self.is_cut(end) {
             return;
         }
         for suspect in self.suspects.values_mut() {
-            suspect.note_cut(end.at_ms);
+            suspect.mark_cut(end.at_ms);
         }
     }
 
--- a/crates/raildale-core/src/gateway/quarantine/suspect.rs
+++ b/crates/raildale-core/src/gateway/quarantine/suspect.rs
@@ -80,7 +80,7 @@
     }
 
     /// Marks the losses at about `at_ms` as lost in a cut.
-    pub fn note_cut(&mut self, at_ms: u64) {
+    pub fn mark_cut(&mut self, at_ms: u64) {
         let is_near =
             |loss: &&mut Loss| loss.at_ms.abs_diff(at_ms) <= TOGETHER_MS;
         let near = self.losses.iter_mut().filter(is_near);
--- a/crates/raildale-core/src/gateway/retry_budget.rs
+++ b/crates/raildale-core/src/gateway/retry_budget.rs
@@ -36,7 +36,7 @@
     }
 
     /// Counts a request on one of `entry_hosts` that share the bound.
-    pub fn note_request(&mut self, entry_hosts: usize) {
+    pub fn record_request(&mut self, entry_hosts: usize) {
         self.tokens += self.bound.ratio;
         self.cap(entry_hosts);
     }
--- a/crates/raildale-core/src/gateway/target.rs
+++ b/crates/raildale-core/src/gateway/target.rs
@@ -226,7 +226,11 @@
 
     /// Handles a report from the agent. Returns whether the target has stopped
     /// answering since the previous report.
-    pub fn note_report(&mut self, now_ms: u64, report: TargetReport) -> bool {
+    pub fn record_report(
+        &mut self,
+        now_ms: u64,
+        report: TargetReport,
+    ) -> bool {
         let was_up = self.report.as_ref().is_some_and(|(_, r, _)| r.is_up);
         if report.is_up {
             self.nobody_there_ms = None;
@@ -249,7 +253,7 @@
     /// Handles an agent's report of `at_ms` that came in a digest; it is
     /// ignored unless it is newer than the last one. Returns whether the
     /// target has stopped answering since the previous report.
-    pub fn note_relayed_report(
+    pub fn record_relayed_report(
         &mut self,
         at_ms: u64,
         report: TargetReport,
@@ -258,7 +262,7 @@
         if known.is_some_and(|(known_ms, ..)| *known_ms >= at_ms) {
             return false;
         }
-        let has_ended = self.note_report(at_ms, report);
+        let has_ended = self.record_report(at_ms, report);
         self.is_direct = false;
         has_ended
     }
@@ -286,7 +290,7 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn note_outcome(&mut self, now_ms: u64, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now_ms: u64, outcome: Outcome) {
         match outcome {
             Outcome::Whole => self.failures.add(now_ms, 0.0),
             Outcome::Misdirected => self.misdirected_ms = Some(now_ms),
--- a/crates/raildale-core/src/gateway/targets/departed.rs
+++ b/crates/raildale-core/src/gateway/targets/departed.rs
@@ -36,7 +36,7 @@
 
 impl Departed {
     /// Records that a start has left the list by the change `removed`.
-    pub fn note(&mut self, now_ms: u64, start: StartId, removed: Stamp) {
+    pub fn record(&mut self, now_ms: u64, start: StartId, removed: Stamp) {
         let departure = Departure { removed, at_ms: now_ms, copied: None };
         self.insert(start, departure);
     }
@@ -54,7 +54,7 @@
     /// Returns whether the listed entry of a start is a copy from before the
     /// start left. An entry that is written again has another stamp: then the
     /// start is back, and its departure is forgotten.
-    pub fn note_listed(&mut self, start: StartId, entry: Stamp) -> bool {
+    pub fn record_listed(&mut self, start: StartId, entry: Stamp) -> bool {
         let Some(departure) = self.by_start.get_mut(&start) else {
             return false;
         };
--- a/crates/raildale-core/src/gateway/targets/mod.rs
+++ b/crates/raildale-core/src/gateway/targets/mod.rs
@@ -226,7 +226,7 @@
     /// removes it.
     pub fn depart(&mut self, now_ms: u64, id: &str, removed: Stamp) {
         if let Some(target) = self.by_id.get(id) {
-            self.departed.note(now_ms, target.start, removed);
+            self.departed.record(now_ms, target.start, removed);
         }
         self.remove(id);
     }
@@ -265,14 +265,14 @@
 
     /// Handles a report by the agent of the target at `address`. Returns
     /// whether such a target is known.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         now_ms: u64,
         address: SocketAddr,
         report: TargetReport,
     ) -> bool {
         let Some(target) = self.target_at(address) else { return false };
-        if target.note_report(now_ms, report) {
+        if target.record_report(now_ms, report) {
             let end = target.end(Some(now_ms), EndSign::Unanswered);
             self.ended.push(end);
         }
@@ -281,14 +281,14 @@
 
     /// Handles a report in a digest on the target at `address`, which its
     /// agent made at `at_ms`.
-    pub fn note_relayed_report(
+    pub fn record_relayed_report(
         &mut self,
         at_ms: u64,
         address: SocketAddr,
         report: TargetReport,
     ) {
         let Some(target) = self.target_at(address) else { return };
-        if target.note_relayed_report(at_ms, report) {
+        if target.record_relayed_report(at_ms, report) {
             let end = target.end(Some(at_ms), EndSign::Unanswered);
             self.ended.push(end);
         }
@@ -316,7 +316,7 @@
     }
 
     /// Counts a request sent to a target.
-    pub fn note_sent(&mut self, id: &str) {
+    pub fn record_sent(&mut self, id: &str) {
         if let Some(target) = self.by_id.get_mut(id) {
             target.in_flight += 1;
             target.not_begun += 1;
@@ -324,7 +324,7 @@
     }
 
     /// Records that a request has begun at a target.
-    pub fn note_begun(&mut self, id: &str) {
+    pub fn record_begun(&mut self, id: &str) {
         if let Some(target) = self.by_id.get_mut(id) {
             target.not_begun = target.not_begun.saturating_sub(1);
         }
@@ -332,7 +332,7 @@
 
     /// Records the end of an attempt at a target; `has_begun` tells whether
     /// the request had begun there.
-    pub fn note_ended(
+    pub fn record_ended(
         &mut self,
         now_ms: u64,
         id: &str,
@@ -340,11 +340,11 @@
         has_begun: bool,
     ) {
         if !has_begun {
-            self.note_begun(id);
+            self.record_begun(id);
         }
         if let Some(target) = self.by_id.get_mut(id) {
             target.in_flight = target.in_flight.saturating_sub(1);
-            target.note_outcome(now_ms, outcome);
+            target.record_outcome(now_ms, outcome);
         }
     }
 
--- a/crates/raildale-core/src/gateway/targets/notice_limits.rs
+++ b/crates/raildale-core/src/gateway/targets/notice_limits.rs
@@ -17,7 +17,7 @@
     pub fn use_token(&mut self, now_ms: u64, id: &str) {
         let Some(target) = self.by_id.get(id) else { return };
         let part = own_part(&self.parts, self.alive_share(), target);
-        self.notices.note_sent(now_ms, target.start, part);
+        self.notices.record_sent(now_ms, target.start, part);
     }
 
     /// Returns whether a target's notices allow one more request of this entry
--- a/crates/raildale-core/src/gateway/versions.rs
+++ b/crates/raildale-core/src/gateway/versions.rs
@@ -27,7 +27,7 @@
 impl Gateway {
     /// Records that a version of a model was named. The bound runs from the
     /// naming, so the earliest reported time counts.
-    pub fn note_version(
+    pub fn record_version(
         &mut self,
         model: Name,
         named: NamedVersion,
@@ -58,7 +58,7 @@
 
     /// Records when the store reported the named versions to an entry host.
     /// Call this after recording the versions that were known there.
-    pub fn note_versions_heard(&mut self, heard_ms: u64) {
+    pub fn record_versions_heard(&mut self, heard_ms: u64) {
         self.versions_heard_ms = self.versions_heard_ms.max(Some(heard_ms));
     }
 
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -212,7 +212,7 @@
     }
 
     /// Records that a request was sent to a target.
-    pub fn note_sent(&mut self, now_ms: u64, request: &Admission) {
+    pub fn record_sent(&mut self, now_ms: u64, request: &Admission) {
         if self.is_late(now_ms, request) {
             let name = request.service.name.clone();
             let queue = self.queues.entry(name).or_default();
@@ -221,7 +221,7 @@
     }
 
     /// Records the time from sending a request to its first event.
-    pub fn note_first_event(
+    pub fn record_first_event(
         &mut self,
         now_ms: u64,
         service: &Name,
--- a/crates/raildale-core/tests/departed.rs
+++ b/crates/raildale-core/tests/departed.rs
@@ -12,7 +12,7 @@
 /// Returns departures with a start that left at revision 9 of era 1.
 fn departed() -> Departed {
     let mut departed = Departed::default();
-    departed.note(START_MS, DEPARTED, Stamp::new(1, 9));
+    departed.record(START_MS, DEPARTED, Stamp::new(1, 9));
     departed
 }
 
@@ -20,10 +20,10 @@
 fn an_entry_of_a_restored_copy_is_ignored() {
     let mut departed = departed();
     for _ in 0..2 {
-        assert!(departed.note_listed(DEPARTED, Stamp::new(2, 5)));
+        assert!(departed.record_listed(DEPARTED, Stamp::new(2, 5)));
     }
     assert!(
-        !departed.note_listed(StartId(8), Stamp::new(2, 5)),
+        !departed.record_listed(StartId(8), Stamp::new(2, 5)),
         "another start"
     );
 }
@@ -31,14 +31,17 @@
 #[test]
 fn a_start_that_rewrites_its_entry_is_listed_again() {
     let mut same_era = departed();
-    assert!(!same_era.note_listed(DEPARTED, Stamp::new(1, 12)));
+    assert!(!same_era.record_listed(DEPARTED, Stamp::new(1, 12)));
     let mut later = departed();
-    assert!(!later.note_listed(DEPARTED, Stamp::new(2, 10)), "after the copy");
+    assert!(
+        !later.record_listed(DEPARTED, Stamp::new(2, 10)),
+        "after the copy"
+    );
     let mut again = departed();
-    assert!(again.note_listed(DEPARTED, Stamp::new(2, 5)));
-    assert!(!again.note_listed(DEPARTED, Stamp::new(2, 8)), "another stamp");
+    assert!(again.record_listed(DEPARTED, Stamp::new(2, 5)));
+    assert!(!again.record_listed(DEPARTED, Stamp::new(2, 8)), "another stamp");
     assert!(
-        !again.note_listed(DEPARTED, Stamp::new(2, 5)),
+        !again.record_listed(DEPARTED, Stamp::new(2, 5)),
         "it is listed again"
     );
 }
@@ -46,18 +49,18 @@
 #[test]
 fn departures_are_merged() {
     let mut departed = departed();
-    departed.note_listed(DEPARTED, Stamp::new(2, 5));
+    departed.record_listed(DEPARTED, Stamp::new(2, 5));
     let mut other = Departed::default();
     other.merge_remote(START_MS, departed.outgoing(START_MS));
-    assert!(other.note_listed(DEPARTED, Stamp::new(2, 5)));
-    assert!(!other.note_listed(DEPARTED, Stamp::new(2, 6)), "rewritten");
+    assert!(other.record_listed(DEPARTED, Stamp::new(2, 5)));
+    assert!(!other.record_listed(DEPARTED, Stamp::new(2, 6)), "rewritten");
 }
 
 #[test]
 fn an_entry_that_stays_listed_is_accepted_after_30_s() {
     let mut departed = departed();
-    departed.note_listed(DEPARTED, Stamp::new(2, 5));
+    departed.record_listed(DEPARTED, Stamp::new(2, 5));
     assert_eq!(departed.sweep(START_MS + 30_000), []);
     assert_eq!(departed.sweep(START_MS + 30_001), [DEPARTED]);
-    assert!(!departed.note_listed(DEPARTED, Stamp::new(2, 5)));
+    assert!(!departed.record_listed(DEPARTED, Stamp::new(2, 5)));
 }
--- a/crates/raildale-core/tests/free_slots.rs
+++ b/crates/raildale-core/tests/free_slots.rs
@@ -92,8 +92,8 @@
         .collect();
     for (id, slots) in own_slots {
         for _ in 0..slots {
-            gateway.targets.note_sent(&id);
-            gateway.targets.note_begun(&id);
+            gateway.targets.record_sent(&id);
+            gateway.targets.record_begun(&id);
         }
     }
     for place in 1..=TARGETS {
@@ -107,7 +107,7 @@
             ..TargetReport::default()
         };
         let at_ms = START_MS + u64::from(place);
-        gateway.targets.note_report(at_ms, address(place), report);
+        gateway.targets.record_report(at_ms, address(place), report);
     }
     gateway
 }
--- a/crates/raildale-core/tests/gateway.rs
+++ b/crates/raildale-core/tests/gateway.rs
@@ -198,10 +198,10 @@
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let named_ms = START_MS - age_ms;
-    gateway.note_version("m".into(), NamedVersion { version: 2, named_ms });
+    gateway.record_version("m".into(), NamedVersion { version: 2, named_ms });
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let report = TargetReport { round_trip_ms, ..report(1) };
-    gateway.targets.note_report(START_MS, address, report);
+    gateway.targets.record_report(START_MS, address, report);
     let mut request = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
     assert_eq!(sent(next).is_some(), is_sent);
@@ -212,7 +212,7 @@
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let version = NamedVersion { version: 2, named_ms: START_MS };
-    gateway.note_version("m".into(), version);
+    gateway.record_version("m".into(), version);
     let request = admit(&mut gateway, "/deep/");
     let late_ms = START_MS + VERSION_MS - 600;
     assert!(!gateway.is_too_old(START_MS + 1_000, &request, "t"));
@@ -242,7 +242,7 @@
     for (version, age_ms) in reported {
         let named_ms = START_MS - age_ms;
         let named = NamedVersion { version: *version, named_ms };
-        gateway.note_version("m".into(), named);
+        gateway.record_version("m".into(), named);
     }
     let request = admit(&mut gateway, "/deep/");
     let bound_ms = START_MS - 5_000 + VERSION_MS;
@@ -261,7 +261,7 @@
 ) {
     let mut gateway = gateway();
     for heard_age_ms in heard_ages_ms {
-        gateway.note_versions_heard(START_MS - heard_age_ms);
+        gateway.record_versions_heard(START_MS - heard_age_ms);
     }
     assert_eq!(gateway.earliest_naming_ms(START_MS), START_MS - age_ms);
 }
@@ -272,7 +272,7 @@
     for (version, age_ms) in [(1, 60_000), (2, VERSION_MS), (3, 1_000)] {
         let named_ms = START_MS - age_ms;
         let named = NamedVersion { version, named_ms };
-        gateway.note_version("m".into(), named);
+        gateway.record_version("m".into(), named);
     }
     let reported: Vec<u64> = gateway
         .bounding_versions(START_MS)
@@ -292,7 +292,7 @@
     gateway.targets.put(TargetSpec { is_draining, ..spec });
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let report = TargetReport { is_accepting, ..report(1) };
-    gateway.targets.note_report(START_MS, address, report);
+    gateway.targets.record_report(START_MS, address, report);
     let mut request = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
     assert_eq!(sent(next), None);
@@ -310,14 +310,14 @@
         let address = SocketAddr::from(([10, 0, 0, last], 80));
         let running = u32::from(last - 1) * 4;
         let report = TargetReport { running, ..report(1) };
-        gateway.targets.note_report(START_MS, address, report);
+        gateway.targets.record_report(START_MS, address, report);
     }
     let mut counts = [0; 2];
     for draw in 0..6 {
         let mut request = admit(&mut gateway, "/deep/");
         let next = gateway.next(START_MS, &mut request, START_MS, draw);
         let id = sent(next).expect("there is room");
-        gateway.note_begun(START_MS, &mut request, &id, 100);
+        gateway.record_begun(START_MS, &mut request, &id, 100);
         counts[usize::from(&*id == "t2")] += 1;
     }
     assert_eq!(
@@ -412,7 +412,7 @@
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let missing_chunks = 10;
     let report = TargetReport { missing_chunks, ..report(0) };
-    gateway.targets.note_report(START_MS, address, report);
+    gateway.targets.record_report(START_MS, address, report);
     let mut request = admit(&mut gateway, "/deep/");
     let later_ms = START_MS + 200;
     let next = gateway.next(later_ms, &mut request, START_MS, 0);
@@ -427,7 +427,7 @@
     gateway.targets.put(target("t", "model", 1, None));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let report = TargetReport { missing_chunks: 10, ..report(0) };
-    gateway.targets.note_report(START_MS, address, report);
+    gateway.targets.record_report(START_MS, address, report);
     let later_try = RequestHead { deadline_ms: Some(4_000), ..head("/deep/") };
     let mut request = gateway
         .admit(START_MS, &later_try, 0)
@@ -450,7 +450,7 @@
 fn report_running(gateway: &mut Gateway, now_ms: u64, running: u32) {
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let report = TargetReport { running, ..report(1) };
-    gateway.targets.note_report(now_ms, address, report);
+    gateway.targets.record_report(now_ms, address, report);
 }
 
 fn waits(gateway: &mut Gateway, now_ms: u64, request: &mut Admission) -> bool {
@@ -534,7 +534,7 @@
         let mut served = admit(&mut gateway, "/deep/");
         let next = gateway.next(START_MS, &mut served, START_MS, 0);
         let id = sent(next).expect("there is room");
-        gateway.note_begun(START_MS, &mut served, &id, first_event_ms);
+        gateway.record_begun(START_MS, &mut served, &id, first_event_ms);
         gateway.on_attempt_ended(START_MS, &mut served, &id, Outcome::Whole);
     }
     let mut request = admit(&mut gateway, "/deep/");
@@ -563,7 +563,7 @@
     assert_eq!(counts, 3, "0.4 of its 8 slots");
     let first = requests[0].as_mut().expect("it was sent");
     let id = first.tried[0].clone();
-    gateway.note_begun(START_MS, first, &id, 100);
+    gateway.record_begun(START_MS, first, &id, 100);
     let mut next_one = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut next_one, START_MS, 0);
     assert!(matches!(next, Next::Send(_)), "one has begun: {next:?}");
@@ -601,7 +601,7 @@
             gateway.admit(START_MS, &later_try, 0).expect("it is admitted");
         let next = gateway.next(START_MS, &mut served, START_MS, 0);
         let id = sent(next).expect("there is room");
-        gateway.note_begun(START_MS, &mut served, &id, 100);
+        gateway.record_begun(START_MS, &mut served, &id, 100);
     }
     report_running(&mut gateway, START_MS, 9);
     // Six requests just sent are a rate of 4.2 per second. A caller leaves
@@ -644,7 +644,7 @@
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let heard_ms = START_MS - report_age_ms;
-    gateway.targets.note_report(heard_ms, address, report(1));
+    gateway.targets.record_report(heard_ms, address, report(1));
     let mut request = admit(&mut gateway, "/deep/");
     request.tried.push("t".into());
     let silence = gateway.silence(START_MS, &request, "t", silent_ms, false);
@@ -668,7 +668,7 @@
         let address = spec.address;
         gateway.targets.put(spec);
         let reported = TargetReport { running, ..report(1) };
-        gateway.targets.note_report(START_MS, address, reported);
+        gateway.targets.record_report(START_MS, address, reported);
     };
     put(&mut gateway, "t", 1, 1);
     if let Some(running) = running_elsewhere {
@@ -701,7 +701,7 @@
         gateway.targets.iter().map(|t| &*t.spec.id).collect();
     assert_eq!(known, ["new"]);
     gateway.targets.remove("old");
-    let reported = gateway.targets.note_report(
+    let reported = gateway.targets.record_report(
         START_MS,
         SocketAddr::from(([10, 0, 0, 1], 80)),
         report(1),
@@ -723,9 +723,9 @@
     gateway.targets.put(spec);
     let reported =
         |missing_chunks| TargetReport { missing_chunks, ..report(0) };
-    gateway.targets.note_report(START_MS, address, reported(30));
+    gateway.targets.record_report(START_MS, address, reported(30));
     let later_ms = START_MS + 1_200;
-    gateway.targets.note_report(later_ms, address, reported(missing_chunks));
+    gateway.targets.record_report(later_ms, address, reported(missing_chunks));
     let ready = gateway.targets.ready_in_ms(later_ms, "model");
     assert_eq!(ready, ready_ms);
 }
@@ -735,7 +735,7 @@
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
-    gateway.targets.note_report(START_MS, address, report(1));
+    gateway.targets.record_report(START_MS, address, report(1));
     let up = vec![(Name::from("t"), true)];
     assert_eq!(gateway.targets.agent_changes(START_MS), up);
     assert_eq!(gateway.targets.agent_changes(START_MS + 100), vec![]);
@@ -749,11 +749,11 @@
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let named_ms = START_MS - 1_000;
-    gateway.note_version("m".into(), NamedVersion { version: 2, named_ms });
+    gateway.record_version("m".into(), NamedVersion { version: 2, named_ms });
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let slow = TargetReport { round_trip_ms: 600, ..report(1) };
-    gateway.targets.note_report(START_MS - 300, address, slow);
-    gateway.targets.note_report(START_MS, address, report(1));
+    gateway.targets.record_report(START_MS - 300, address, slow);
+    gateway.targets.record_report(START_MS, address, report(1));
     let mut request = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
     assert_eq!(sent(next), None, "the path was slow recently");
@@ -771,7 +771,7 @@
     let slow = TargetReport { round_trip_ms: 600, ..report(1) };
     for (last, reported) in [(1, full), (2, slow)] {
         let address = SocketAddr::from(([10, 0, 0, last], 80));
-        gateway.targets.note_report(START_MS, address, reported);
+        gateway.targets.record_report(START_MS, address, reported);
     }
     let mut request = admit(&mut gateway, "/deep/");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
@@ -802,7 +802,7 @@
     let full = TargetReport { running: 2, queued: 2, ..idle };
     for (last, at_ms, reported) in [(1, now_ms, full), (2, START_MS, idle)] {
         let address = SocketAddr::from(([10, 0, 0, last], 80));
-        gateway.targets.note_report(at_ms, address, reported);
+        gateway.targets.record_report(at_ms, address, reported);
     }
     let mut request =
         gateway.admit(now_ms, &head("/deep/"), 0).expect("it is admitted");
@@ -829,7 +829,7 @@
             gateway.targets.put(spec);
             let running = if last == 1 { 0 } else { 6 };
             let reported = TargetReport { running, ..report(1) };
-            gateway.targets.note_report(START_MS, address, reported);
+            gateway.targets.record_report(START_MS, address, reported);
         }
         // A different random number on each host spreads them over the
         // targets.
@@ -861,7 +861,7 @@
     let address = spec.address;
     gateway.targets.put(spec);
     let reported = TargetReport { every_ms, ..report(1) };
-    gateway.targets.note_report(START_MS, address, reported);
+    gateway.targets.record_report(START_MS, address, reported);
     let target = gateway.targets.get("t1").expect("it was listed");
     assert_eq!(target.round_trip_ms(START_MS + age_ms), delay_ms);
 }
@@ -878,13 +878,25 @@
         (report, target.direct_report(START_MS).is_some())
     };
     let reported = |running| TargetReport { running, ..report(1) };
-    gateway.targets.note_relayed_report(START_MS - 700, address, reported(5));
+    gateway.targets.record_relayed_report(
+        START_MS - 700,
+        address,
+        reported(5),
+    );
     assert_eq!(running(&gateway), (Some(5), false), "by digest only");
-    gateway.targets.note_report(START_MS - 200, address, reported(1));
+    gateway.targets.record_report(START_MS - 200, address, reported(1));
     assert_eq!(running(&gateway), (Some(1), true));
-    gateway.targets.note_relayed_report(START_MS - 300, address, reported(7));
+    gateway.targets.record_relayed_report(
+        START_MS - 300,
+        address,
+        reported(7),
+    );
     assert_eq!(running(&gateway), (Some(1), true), "older");
-    gateway.targets.note_relayed_report(START_MS - 100, address, reported(9));
+    gateway.targets.record_relayed_report(
+        START_MS - 100,
+        address,
+        reported(9),
+    );
     assert_eq!(running(&gateway), (Some(9), false), "newer");
 }
 
@@ -897,7 +909,7 @@
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let every_ms = 800;
     let reported = TargetReport { every_ms, ..report(1) };
-    gateway.targets.note_relayed_report(START_MS, address, reported);
+    gateway.targets.record_relayed_report(START_MS, address, reported);
     let is_silent = |now_ms| {
         let target = gateway.targets.get("t").expect("it is listed");
         target.is_silent(now_ms)
@@ -918,8 +930,8 @@
     };
     gateway.targets.put(started(1));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
-    gateway.targets.note_report(START_MS, address, report(1));
-    gateway.targets.note_sent("t");
+    gateway.targets.record_report(START_MS, address, report(1));
+    gateway.targets.record_sent("t");
     gateway.targets.put(started(1));
     let known = gateway.targets.get("t").expect("it is listed");
     assert_eq!(
@@ -990,12 +1002,12 @@
             let now_ms = START_MS + u64::from(last) * 1_000;
             gateway.targets.put(target(&id, "model", last, Some(1)));
             let address = SocketAddr::from(([10, 0, 0, last], 80));
-            gateway.targets.note_report(now_ms, address, report(1));
+            gateway.targets.record_report(now_ms, address, report(1));
             let next = gateway.next(now_ms, request, now_ms, 0);
             assert_eq!(sent(next).as_deref(), Some(&*id));
             gateway.on_attempt_ended(now_ms, request, &id, Outcome::Broken);
             let down = TargetReport { is_up: false, ..report(1) };
-            gateway.targets.note_report(now_ms + 50, address, down);
+            gateway.targets.record_report(now_ms + 50, address, down);
             gateway.take_ends(now_ms + 50);
         };
     for last in 1..=3 {
@@ -1026,7 +1038,7 @@
     let mut gateway = gateway();
     gateway.targets.put(target("t", "model", 1, Some(1)));
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
-    gateway.targets.note_report(START_MS, address, report(1));
+    gateway.targets.record_report(START_MS, address, report(1));
     let mut request = admit(&mut gateway, "/deep/x");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
     assert_eq!(sent(next).as_deref(), Some("t"));
@@ -1035,7 +1047,7 @@
     let mut later = admit(&mut gateway, "/deep/x");
     let next = gateway.next(now_ms, &mut later, now_ms, 0);
     assert_eq!(sent(next), None);
-    gateway.targets.note_report(now_ms + 100, address, report(1));
+    gateway.targets.record_report(now_ms + 100, address, report(1));
     let next = gateway.next(now_ms + 101, &mut later, now_ms, 0);
     assert_eq!(sent(next).as_deref(), Some("t"));
 }
--- a/crates/raildale-core/tests/notices_world/mod.rs
+++ b/crates/raildale-core/tests/notices_world/mod.rs
@@ -345,7 +345,7 @@
             };
             for host in &mut self.hosts {
                 let address = spec(target).address;
-                host.targets.note_report(self.now_ms, address, report);
+                host.targets.record_report(self.now_ms, address, report);
             }
         }
     }
@@ -375,7 +375,7 @@
         let start = StartId::of(&spec(target));
         let host = &mut self.hosts[attempt.host];
         let notices = &mut host.targets.notices;
-        notices.note(now_ms, start, attempt.sent_ms, notice);
+        notices.record(now_ms, start, attempt.sent_ms, notice);
         let id = spec(target).id;
         let request = &mut attempt.pending.request;
         if is_refused {
@@ -384,7 +384,7 @@
             self.waiting[attempt.host].push(attempt.pending);
             return None;
         }
-        host.note_begun(now_ms, request, &id, HEAD_MS);
+        host.record_begun(now_ms, request, &id, HEAD_MS);
         Some(attempt)
     }
 
@@ -500,7 +500,7 @@
         gateway.targets.put(spec);
         let notice =
             TargetNotice { limit_per_s: *limit, ..Default::default() };
-        gateway.targets.notices.note(START_MS, start, START_MS, notice);
+        gateway.targets.notices.record(START_MS, start, START_MS, notice);
     }
     gateway
 }
--- a/crates/raildale-core/tests/quarantine.rs
+++ b/crates/raildale-core/tests/quarantine.rs
@@ -44,11 +44,16 @@
     requests: &[Fingerprint],
 ) {
     for request in requests {
-        known.note_sent(*request);
-        known.note_broken(at_ms, *request, StartId(start));
-        known.note_try_ended(*request);
+        known.record_sent(*request);
+        known.record_broken(at_ms, *request, StartId(start));
+        known.record_attempt_ended(*request);
     }
-    known.note_start_ended(at_ms + 100, StartId(start), at_ms + 100, TARGETS);
+    known.record_start_ended(
+        at_ms + 100,
+        StartId(start),
+        at_ms + 100,
+        TARGETS,
+    );
 }
 
 /// Ends `count` starts one after the other while some requests run there.
@@ -120,7 +125,7 @@
     let mut known = Quarantine::new();
     for number in 0..20 {
         let at_ms = START_MS + number * APART_MS;
-        known.note_broken(at_ms, sound(), StartId(number));
+        known.record_broken(at_ms, sound(), StartId(number));
     }
     let later_ms = START_MS + 21 * APART_MS;
     assert_eq!(known.permission(later_ms, sound()), Permission::Allowed);
@@ -133,9 +138,9 @@
     let mut known = Quarantine::new();
     for number in 0..3 {
         let at_ms = START_MS + number * APART_MS;
-        known.note_refused_connection(at_ms - 1, StartId(number), TARGETS);
-        known.note_broken(at_ms, culprit(), StartId(number));
-        known.note_refused_connection(at_ms + 20, StartId(number), TARGETS);
+        known.record_refused_connection(at_ms - 1, StartId(number), TARGETS);
+        known.record_broken(at_ms, culprit(), StartId(number));
+        known.record_refused_connection(at_ms + 20, StartId(number), TARGETS);
     }
     assert!(is_quarantined(&known, START_MS + 3 * APART_MS, culprit()));
 }
@@ -144,7 +149,7 @@
 fn an_answer_clears_earlier_losses() {
     let mut known = Quarantine::new();
     let at_ms = end_separately(&mut known, 2, &[sound()]);
-    known.note_answered(at_ms + 300, sound());
+    known.record_answered(at_ms + 300, sound());
     end(&mut known, at_ms + APART_MS, 7, &[sound()]);
     assert!(!is_quarantined(&known, at_ms + 2 * APART_MS, sound()));
 }
@@ -160,12 +165,12 @@
         let at_ms = START_MS + cut * 5_000;
         for (place, request) in requests.iter().enumerate() {
             let start = cut * 1_000 + place as u64;
-            known.note_broken(at_ms, *request, StartId(start));
+            known.record_broken(at_ms, *request, StartId(start));
         }
         for place in 0..targets {
             let evidence_ms = at_ms + 50 + place % 100;
             let start = StartId(cut * 1_000 + place);
-            known.note_start_ended(
+            known.record_start_ended(
                 evidence_ms,
                 start,
                 evidence_ms,
@@ -198,10 +203,10 @@
     known.set_place(owner, count);
     assert!(is_quarantined(&known, now_ms - 2_000, sound()), "not at once");
     assert_eq!(known.permission(now_ms, sound()), Permission::Allowed);
-    known.note_sent(sound());
+    known.record_sent(sound());
     assert!(is_quarantined(&known, now_ms + 1, sound()), "one try at a time");
-    known.note_try_ended(sound());
-    known.note_answered(now_ms + 900, sound());
+    known.record_attempt_ended(sound());
+    known.record_answered(now_ms + 900, sound());
     assert_eq!(known.permission(now_ms + 901, sound()), Permission::Allowed);
     let changes: Vec<bool> =
         known.take_changes().iter().map(|n| n.is_culprit).collect();
@@ -229,10 +234,10 @@
     let at_ms = end_separately(&mut known, 2, &[culprit()]);
     let now_ms = at_ms + APART_MS;
     assert_eq!(known.permission(now_ms, culprit()), Permission::Allowed);
-    known.note_sent(culprit());
+    known.record_sent(culprit());
     assert_eq!(known.permission(now_ms, culprit()), Permission::Pending);
-    known.note_broken(now_ms, culprit(), StartId(9));
-    known.note_try_ended(culprit());
+    known.record_broken(now_ms, culprit(), StartId(9));
+    known.record_attempt_ended(culprit());
     let settling = known.permission(now_ms + 50, culprit());
     assert_eq!(settling, Permission::Pending, "its target may have ended");
     let later = known.permission(now_ms + 600, culprit());
@@ -318,7 +323,7 @@
     let at_ms = end_separately(&mut observed, 3, &[sound()]);
     let mut answered = Quarantine::new();
     send_suspects(&observed, &mut answered, at_ms + 200);
-    answered.note_answered(at_ms + 300, sound());
+    answered.record_answered(at_ms + 300, sound());
     let mut third = Quarantine::new();
     send_suspects(&answered, &mut third, at_ms + 400);
     send_suspects(&observed, &mut third, at_ms + 500);
@@ -450,8 +455,8 @@
         let at_ms = START_MS + moment * APART_MS;
         for copy in 0..20 {
             let start = StartId(moment * 100 + copy);
-            known.note_broken(at_ms, culprit(), start);
-            known.note_start_ended(at_ms + 60, start, at_ms + 60, TARGETS);
+            known.record_broken(at_ms, culprit(), start);
+            known.record_start_ended(at_ms + 60, start, at_ms + 60, TARGETS);
         }
     }
     let now_ms = START_MS + 5 * APART_MS;
--- a/crates/raildale-core/tests/query_of_death_runs.rs
+++ b/crates/raildale-core/tests/query_of_death_runs.rs
@@ -185,7 +185,12 @@
             Event::Evidence { host, start, at_ms } => {
                 let known = &mut self.hosts[host];
                 let of = self.targets.len() as u32;
-                known.note_start_ended(self.now_ms, StartId(start), at_ms, of);
+                known.record_start_ended(
+                    self.now_ms,
+                    StartId(start),
+                    at_ms,
+                    of,
+                );
                 if known.take_urgent() {
                     self.send_suspects(host);
                 }
@@ -276,7 +281,7 @@
         let Some(place) = self.pick(&one) else {
             return self.retry(one);
         };
-        self.hosts[one.host].note_sent(one.request);
+        self.hosts[one.host].record_sent(one.request);
         one.tried[one.attempts as usize] = place;
         one.attempts += 1;
         self.number += 1;
@@ -324,8 +329,8 @@
         }
         running.remove(&number);
         let known = &mut self.hosts[one.host];
-        known.note_try_ended(one.request);
-        known.note_answered(self.now_ms, one.request);
+        known.record_attempt_ended(one.request);
+        known.record_answered(self.now_ms, one.request);
     }
 
     /// Ends a target: its requests break off at once, and the evidence arrives
@@ -346,8 +351,8 @@
         }
         for one in broken.into_values() {
             let known = &mut self.hosts[one.host];
-            known.note_try_ended(one.request);
-            known.note_broken(self.now_ms, one.request, StartId(start));
+            known.record_attempt_ended(one.request);
+            known.record_broken(self.now_ms, one.request, StartId(start));
             match one.attempts < ATTEMPTS {
                 true => self.arrive(one),
                 false => self.retry(one),
--- a/crates/raildale-core/tests/retry_budget.rs
+++ b/crates/raildale-core/tests/retry_budget.rs
@@ -86,7 +86,7 @@
                 continue;
             }
             for _ in 0..rng.random_range(0..6) {
-                host.budget.note_request(host.known_hosts);
+                host.budget.record_request(host.known_hosts);
                 requests += 1;
                 // A request that fails at every target wants as many repeats
                 // as it can get.
@@ -127,7 +127,7 @@
         for _ in 0..HOSTS {
             let mut budget = RetryBudget::new(BOUND);
             for _ in 0..130 {
-                budget.note_request(HOSTS);
+                budget.record_request(HOSTS);
                 requests += 1;
                 repeats += u64::from(budget.try_repeat(HOSTS));
             }
@@ -145,7 +145,7 @@
 fn an_idle_host_saves_up_only_its_part_of_the_extra() {
     let mut budget = RetryBudget::new(BOUND);
     for _ in 0..1_000 {
-        budget.note_request(5);
+        budget.record_request(5);
     }
     let granted = (0..200).filter(|_| budget.try_repeat(5)).count();
     // 90 % of 100 / 5.
@@ -156,7 +156,7 @@
 fn a_large_fleet_still_repeats() {
     let mut budget = RetryBudget::new(BOUND);
     for _ in 0..5 {
-        budget.note_request(940);
+        budget.record_request(940);
     }
     assert!(budget.try_repeat(940));
     assert!(!budget.try_repeat(940));
--- a/crates/raildale-core/tests/target_leaving.rs
+++ b/crates/raildale-core/tests/target_leaving.rs
@@ -110,7 +110,7 @@
     notice: TargetNotice,
 ) {
     let notices = &mut gateway.targets.notices;
-    notices.note(now_ms, start(number), now_ms - 50, notice);
+    notices.record(now_ms, start(number), now_ms - 50, notice);
 }
 
 fn admit(gateway: &mut Gateway, now_ms: u64, path: &str) -> Admission {
@@ -129,7 +129,7 @@
 fn target_of(gateway: &mut Gateway, now_ms: u64, path: &str) -> Option<Name> {
     let mut request = admit(gateway, now_ms, path);
     let to = send_or_refuse(gateway, now_ms, &mut request)?;
-    gateway.note_begun(now_ms, &mut request, &to, 50);
+    gateway.record_begun(now_ms, &mut request, &to, 50);
     gateway.on_attempt_ended(now_ms, &mut request, &to, Outcome::Whole);
     Some(to)
 }
@@ -189,7 +189,7 @@
     };
     for number in 0..2 {
         let address = spec(number).address;
-        gateway.targets.note_report(START_MS, address, full);
+        gateway.targets.record_report(START_MS, address, full);
     }
     let mut request = admit(&mut gateway, START_MS, "/");
     let next = gateway.next(START_MS, &mut request, START_MS, 0);
@@ -197,7 +197,7 @@
     handle_notice(&mut gateway, START_MS + 10, 0, leaving_notice());
     let free = TargetReport { running: 0, queued: 0, ..full };
     let address = spec(0).address;
-    gateway.targets.note_report(START_MS + 20, address, free);
+    gateway.targets.record_report(START_MS + 20, address, free);
     let to = send_or_refuse(&mut gateway, START_MS + 30, &mut request);
     assert_ne!(to.as_deref(), Some("t0"));
 }
@@ -225,7 +225,7 @@
             .targets
             .put(TargetSpec { stamp: Stamp::new(0, round), ..spec(0) });
         let address = spec(0).address;
-        gateway.targets.note_report(now_ms, address, report);
+        gateway.targets.record_report(now_ms, address, report);
         handle_notice(&mut gateway, now_ms, 0, TargetNotice::default());
         let to = target_of(&mut gateway, now_ms, "/");
         assert_eq!(to, None, "{round} s after the announcement");
--- a/crates/raildale-core/tests/target_limit.rs
+++ b/crates/raildale-core/tests/target_limit.rs
@@ -170,15 +170,15 @@
     let limited =
         TargetNotice { limit_per_s: Some(2.0), ..TargetNotice::default() };
     let silent = TargetNotice::default();
-    notices.note(now_ms, start, now_ms - 50, limited);
-    let changes = notices.note(now_ms + 10, start, now_ms - 40, silent);
+    notices.record(now_ms, start, now_ms - 50, limited);
+    let changes = notices.record(now_ms + 10, start, now_ms - 40, silent);
     assert_eq!(changes, []);
     let received =
         NoticeEntry { start: 7, age_ms: 500, ..NoticeEntry::default() };
     let from = IpAddr::from([10, 1, 0, 1]);
     notices.merge_remote(now_ms + 20, from, &received);
     assert_eq!(notices.limit_per_s(start), Some(2.0));
-    let changes = notices.note(now_ms + 100, start, now_ms + 30, silent);
+    let changes = notices.record(now_ms + 100, start, now_ms + 30, silent);
     assert_eq!(changes, [NoticeChange::Higher]);
     assert_eq!(notices.limit_per_s(start), None);
 }
@@ -198,12 +198,12 @@
         limit_per_s: Some(limit_per_s),
         ..TargetNotice::default()
     };
-    notices.note(START_MS, start, START_MS, limited);
+    notices.record(START_MS, start, START_MS, limited);
     let mut sent = 0;
     for step in 1..=500 {
         let now_ms = START_MS + step * STEP_MS;
         if notices.admits(now_ms, start, || OwnPart::ALL) {
-            notices.note_sent(now_ms, start, || OwnPart::ALL);
+            notices.record_sent(now_ms, start, || OwnPart::ALL);
             sent += 1;
         }
     }
@@ -221,10 +221,10 @@
         TargetNotice { limit_per_s: Some(2.0), ..TargetNotice::default() };
     let malformed =
         TargetNotice { is_malformed: true, ..TargetNotice::default() };
-    notices.note(START_MS, start, START_MS, limited);
+    notices.record(START_MS, start, START_MS, limited);
     let later_ms = START_MS + 100;
-    let first = notices.note(later_ms, start, later_ms, malformed);
-    let second = notices.note(later_ms, start, later_ms, malformed);
+    let first = notices.record(later_ms, start, later_ms, malformed);
+    let second = notices.record(later_ms, start, later_ms, malformed);
     assert_eq!(first, [NoticeChange::Malformed]);
     assert_eq!(second, []);
     assert_eq!(notices.limit_per_s(start), Some(2.0));
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -286,13 +286,13 @@
             Event::Reported { host, target, report } => {
                 let now_ms = self.clock_ms();
                 let targets = &mut self.hosts[host].gateway.targets;
-                targets.note_report(now_ms, address(target), report);
+                targets.record_report(now_ms, address(target), report);
             }
             Event::Heartbeats(host) => self.heartbeats(host),
             Event::Digest(centre) => self.digest(centre),
             Event::Told { host, target, at_ms, report } => {
                 let targets = &mut self.hosts[host].gateway.targets;
-                targets.note_relayed_report(at_ms, address(target), report);
+                targets.record_relayed_report(at_ms, address(target), report);
             }
             Event::Drain(target) => {
                 self.targets[target].is_accepting = false;
@@ -514,7 +514,7 @@
         if let Some(admission) = call.admission.as_mut() {
             let id = target_id(known.target);
             let took_ms = now_ms - known.sent_ms;
-            gateway.note_begun(now_ms, admission, &id, took_ms);
+            gateway.record_begun(now_ms, admission, &id, took_ms);
         }
         let at_ms = self.now_ms + self.pattern.fleet.caller_way_ms;
         call.got_event(at_ms);
--- a/crates/raildale/src/fleet/entry/attempt.rs
+++ b/crates/raildale/src/fleet/entry/attempt.rs
@@ -133,7 +133,7 @@
 
     /// Records that an event, or a whole answer, has arrived. Only the first
     /// call has an effect.
-    pub fn note_begun(&mut self, request: &mut Admission) {
+    pub fn record_begun(&mut self, request: &mut Admission) {
         if self.has_begun {
             return;
         }
@@ -142,7 +142,7 @@
         let now = now_ms();
         let took_ms = now.saturating_sub(self.sent_ms);
         let mut gateway = self.host.gateway.borrow_mut();
-        gateway.note_begun(now, request, &self.target, took_ms);
+        gateway.record_begun(now, request, &self.target, took_ms);
     }
 
     /// Ends the attempt. Returns whether the request may be sent again.
@@ -171,7 +171,7 @@
     pub fn end_with_success(&mut self, request: &mut Admission) {
         self.end(request, Outcome::Whole);
         let mut gateway = self.host.gateway.borrow_mut();
-        gateway.note_answered(now_ms(), request);
+        gateway.record_answered(now_ms(), request);
     }
 
     /// Closes the attempt's connection, so that it is not reused.
--- a/crates/raildale/src/fleet/entry/digests.rs
+++ b/crates/raildale/src/fleet/entry/digests.rs
@@ -134,7 +134,7 @@
         let mut report = wire.target_report(now);
         report.round_trip_ms = target.round_trip_ms + digest.round_trip_ms;
         let at_ms = now.saturating_sub(target.age_ms);
-        gateway.targets.note_relayed_report(at_ms, address, report);
+        gateway.targets.record_relayed_report(at_ms, address, report);
     }
     drop(gateway);
     host.handle_ended_targets();
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -142,7 +142,7 @@
         }
         if let Some(age_ms) = heard_age_ms {
             let heard_ms = now.saturating_sub(age_ms);
-            self.gateway.borrow_mut().note_versions_heard(heard_ms);
+            self.gateway.borrow_mut().record_versions_heard(heard_ms);
         }
     }
 
@@ -300,7 +300,7 @@
             return;
         };
         let start = StartId::of(&spec);
-        if self.note_listed(start, spec.stamp) {
+        if self.record_listed(start, spec.stamp) {
             let detail = format!("target={} restored={}", spec.id, spec.stamp);
             self.log(LogEvent::TargetGone, &detail);
             return;
@@ -400,7 +400,7 @@
         source_text: &str,
     ) {
         let mut gateway = self.gateway.borrow_mut();
-        let change = gateway.note_version(model.clone(), named);
+        let change = gateway.record_version(model.clone(), named);
         let is_logged = match change {
             VersionChange::New => true,
             VersionChange::Earlier(ms) => ms >= MIN_LOGGED_CORRECTION_MS,
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -22,7 +22,7 @@
         let Some(start) = attempt.start else { return };
         let mut gateway = self.gateway.borrow_mut();
         let notices = &mut gateway.targets.notices;
-        let news = notices.note(now_ms(), start, attempt.sent_ms, notice);
+        let news = notices.record(now_ms(), start, attempt.sent_ms, notice);
         drop(gateway);
         for change in news {
             self.log_notice(&attempt.target, notice, change);
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -81,9 +81,9 @@
 
     /// Records the entry under which a start is listed. Returns whether the
     /// entry is a copy from before the start left the list.
-    pub(super) fn note_listed(&self, start: StartId, entry: Stamp) -> bool {
+    pub(super) fn record_listed(&self, start: StartId, entry: Stamp) -> bool {
         let departed = &mut self.gateway.borrow_mut().targets.departed;
-        departed.note_listed(start, entry)
+        departed.record_listed(start, entry)
     }
 
     /// Returns the starts of targets that have left the list, for another
@@ -105,7 +105,7 @@
         });
         let listed: Vec<(Name, StartId, Stamp)> = listed.collect();
         for (id, start, stamp) in listed {
-            if targets.departed.note_listed(start, stamp) {
+            if targets.departed.record_listed(start, stamp) {
                 targets.remove(&id);
                 let detail = format!("target={id} restored={stamp}");
                 self.log(LogEvent::TargetGone, &detail);
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -136,7 +136,7 @@
     let Some(address) = target_address(&report, from.ip()) else { return };
     let now = now_ms();
     let report = report.target_report(now);
-    host.gateway.borrow_mut().targets.note_report(now, address, report);
+    host.gateway.borrow_mut().targets.record_report(now, address, report);
     host.handle_ended_targets();
 }
 
--- a/crates/raildale/src/fleet/entry/proxy.rs
+++ b/crates/raildale/src/fleet/entry/proxy.rs
@@ -448,7 +448,7 @@
                 return Some(self.refuse(refusal));
             }
         };
-        attempt.note_begun(&mut self.request);
+        attempt.record_begun(&mut self.request);
         match parts.status.is_success() {
             true => attempt.end_with_success(&mut self.request),
             // The target is alive, but did not do what was asked.
--- a/crates/raildale/src/fleet/entry/store_watch.rs
+++ b/crates/raildale/src/fleet/entry/store_watch.rs
@@ -115,7 +115,7 @@
                 must_list = false;
                 host.record_store_state(true, "");
                 if kind == Kind::Versions {
-                    host.gateway.borrow_mut().note_versions_heard(now_ms());
+                    host.gateway.borrow_mut().record_versions_heard(now_ms());
                 }
             }
             Err(StoreFailure::HistoryGone) => {
@@ -171,7 +171,7 @@
         StoreFailure::Busy | StoreFailure::HistoryGone => false,
     };
     if is_away {
-        host.gateway.borrow_mut().note_versions_heard(started_ms);
+        host.gateway.borrow_mut().record_versions_heard(started_ms);
     }
 }
 
--- a/crates/raildale/src/fleet/entry/stream_body.rs
+++ b/crates/raildale/src/fleet/entry/stream_body.rs
@@ -76,7 +76,7 @@
 }
 
 impl EventTimes {
-    fn note(&mut self, now_ms: u64) {
+    fn record_event(&mut self, now_ms: u64) {
         if self.first_ms.is_some() {
             let pause_ms = now_ms.saturating_sub(self.last_ms);
             self.longest_pause_ms = self.longest_pause_ms.max(pause_ms);
@@ -103,8 +103,8 @@
                 StreamInput::Data(data) => {
                     if let Some(whole) = self.splitter.push(data) {
                         let request = &mut self.exchange.request;
-                        self.attempt.note_begun(request);
-                        self.event_times.note(now_ms());
+                        self.attempt.record_begun(request);
+                        self.event_times.record_event(now_ms());
                         return Some(Ok(whole));
                     }
                 }
