--- a/crates/raildale-core/src/agent/mod.rs
+++ b/crates/raildale-core/src/agent/mod.rs
@@ -529,8 +529,8 @@
             link.revision = heartbeat.settings_revision;
         }
         if heartbeat.settings_revision > self.revision.in_force() {
-            let ask = Body::SettingsRequest(SettingsRequest {});
-            effects.push(Effect::ToEntry(entry.clone(), ask));
+            let request = Body::SettingsRequest(SettingsRequest {});
+            effects.push(Effect::ToEntry(entry.clone(), request));
         }
     }
 
--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -82,8 +82,8 @@
         let download = self.downloads.get_mut(&digest).expect("it is listed");
         download.peer_up(name);
         if download.manifest().is_none() {
-            let ask = ManifestRequest { manifest: digest.to_vec() };
-            let body = Body::ManifestRequest(ask);
+            let request = ManifestRequest { manifest: digest.to_vec() };
+            let body = Body::ManifestRequest(request);
             effects.push(Effect::ToPeer(name.clone(), body));
         }
         let mut have = full_have(download);
@@ -125,14 +125,14 @@
     ) {
         match body {
             Body::Have(have) => self.on_have(&peer, have, now_ms, effects),
-            Body::ChunkRequest(ask) => {
-                self.on_chunk_request(peer, ask, effects)
+            Body::ChunkRequest(request) => {
+                self.on_chunk_request(peer, request, effects)
             }
             Body::ChunkRefused(refused) => {
                 self.on_chunk_refused(&peer, refused, now_ms, effects)
             }
-            Body::ManifestRequest(ask) => {
-                self.on_manifest_request(peer, ask, effects)
+            Body::ManifestRequest(request) => {
+                self.on_manifest_request(peer, request, effects)
             }
             _ => log_unexpected(&peer, effects),
         }
@@ -159,15 +159,15 @@
     pub(super) fn on_manifest_request(
         &mut self,
         peer: Name,
-        ask: ManifestRequest,
+        request: ManifestRequest,
         effects: &mut Vec<Effect>,
     ) {
-        let manifest = Digest::from_slice(&ask.manifest)
+        let manifest = Digest::from_slice(&request.manifest)
             .and_then(|digest| self.downloads.get(&digest))
             .and_then(|download| download.manifest());
         if let Some(manifest) = manifest {
             let body = Body::Manifest(ManifestBody {
-                manifest: ask.manifest,
+                manifest: request.manifest,
                 encoded: manifest.encode(),
             });
             effects.push(Effect::ReplyToPeer(peer, body));
@@ -177,11 +177,13 @@
     pub(super) fn on_chunk_request(
         &mut self,
         peer: Name,
-        ask: ChunkRequest,
+        request: ChunkRequest,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(digest) = Digest::from_slice(&ask.manifest) else { return };
-        let index = ask.index as usize;
+        let Some(digest) = Digest::from_slice(&request.manifest) else {
+            return;
+        };
+        let index = request.index as usize;
         let holds = self
             .downloads
             .get(&digest)
@@ -190,8 +192,8 @@
             peer: peer.clone(),
             manifest: digest,
             index,
-            held: ask.held,
-            granted: ask.granted,
+            held: request.held,
+            granted: request.granted,
         };
         let admitted = holds.then(|| self.uploads.admit(upload.clone()));
         match admitted {
@@ -199,8 +201,8 @@
             Some(UploadAdmission::Waiting) => {}
             Some(UploadAdmission::Busy) | None => {
                 let refused = ChunkRefused {
-                    manifest: ask.manifest,
-                    index: ask.index,
+                    manifest: request.manifest,
+                    index: request.index,
                     busy: holds,
                 };
                 let body = Body::ChunkRefused(refused);
--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -178,8 +178,8 @@
                 (code, answer.unwrap_or_default().to_vec())
             }
         };
-        let known = QueryReply { ask: query.ask, code: code.number(), answer };
-        effects.push(Effect::ToEntry(entry, Body::QueryReply(known)));
+        let reply = QueryReply { ask: query.ask, code: code.number(), answer };
+        effects.push(Effect::ToEntry(entry, Body::QueryReply(reply)));
     }
 
     /// Replaces [`Code::Revoked`], which means "not run", by
--- a/crates/raildale-core/src/entry/mod.rs
+++ b/crates/raildale-core/src/entry/mod.rs
@@ -553,8 +553,8 @@
                     .extend(settings.map(|body| Effect::ToEntry(entry, body)));
             }
             Body::Entries(entries) => self.dial_new_entries(entries, effects),
-            Body::ShareRequest(ask) => {
-                self.on_share_request(entry, ask, now_ms, effects)
+            Body::ShareRequest(request) => {
+                self.on_share_request(entry, request, now_ms, effects)
             }
             Body::ShareLease(lease) => self.on_share_lease(&lease, now_ms),
             _ => log_misplaced_frame(&entry, effects),
--- a/crates/raildale-core/src/entry/run_keys.rs
+++ b/crates/raildale-core/src/entry/run_keys.rs
@@ -155,17 +155,17 @@
 
     pub(super) fn on_query_reply(
         &mut self,
-        known: QueryReply,
+        reply: QueryReply,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(ask) = self.pending_queries.remove(&known.ask) else {
+        let Some(query) = self.pending_queries.remove(&reply.ask) else {
             return;
         };
-        let code = Code::from_number(known.code).unwrap_or(Code::Unknown);
+        let code = Code::from_number(reply.code).unwrap_or(Code::Unknown);
         let mut response = FinalResponse::new(code);
-        response.answer = known.answer;
-        response.run_key = Some(ask.run_key);
-        effects.push(Effect::Finish(known.ask, response));
+        response.answer = reply.answer;
+        response.run_key = Some(query.run_key);
+        effects.push(Effect::Finish(reply.ask, response));
     }
 
     pub(super) fn tick_queries(
@@ -176,14 +176,14 @@
         let expired: Vec<u64> = self
             .pending_queries
             .iter()
-            .filter(|(_, ask)| now_ms >= ask.until_ms)
+            .filter(|(_, query)| now_ms >= query.until_ms)
             .map(|(request, _)| *request)
             .collect();
         for request in expired {
-            let ask =
+            let query =
                 self.pending_queries.remove(&request).expect("it is listed");
             let mut response = retry_soon(Code::Unknown);
-            response.run_key = Some(ask.run_key);
+            response.run_key = Some(query.run_key);
             effects.push(Effect::Finish(request, response));
         }
     }
--- a/crates/raildale-core/src/entry/settings.rs
+++ b/crates/raildale-core/src/entry/settings.rs
@@ -62,8 +62,8 @@
         entry: Name,
         effects: &mut Vec<Effect>,
     ) {
-        let ask = Body::SettingsRequest(SettingsRequest {});
-        effects.push(Effect::ToEntry(entry, ask));
+        let request = Body::SettingsRequest(SettingsRequest {});
+        effects.push(Effect::ToEntry(entry, request));
     }
 
     /// Returns the message that carries the settings in force; `None` while
--- a/crates/raildale-core/src/entry/shares.rs
+++ b/crates/raildale-core/src/entry/shares.rs
@@ -156,20 +156,20 @@
             let key = organisation.as_bytes();
             let owner = rendezvous::owner(key, live.iter());
             let Some(owner) = owner.filter(|_| !is_idle) else { continue };
-            let ask = ShareRequest {
+            let request = ShareRequest {
                 organisation: organisation.to_string(),
                 demand_per_s: demand + limits.in_progress,
             };
             if *owner == self.config.name {
-                own.push(ask);
+                own.push(request);
             } else {
-                let body = Body::ShareRequest(ask);
+                let body = Body::ShareRequest(request);
                 effects.push(Effect::ToEntry(owner.clone(), body));
             }
         }
-        for ask in own {
+        for request in own {
             let name = self.config.name.clone();
-            if let Some(lease) = self.grant_lease(name, &ask, now_ms) {
+            if let Some(lease) = self.grant_lease(name, &request, now_ms) {
                 self.on_share_lease(&lease, now_ms);
             }
         }
@@ -178,11 +178,12 @@
     pub(super) fn on_share_request(
         &mut self,
         entry: Name,
-        ask: ShareRequest,
+        request: ShareRequest,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        if let Some(lease) = self.grant_lease(entry.clone(), &ask, now_ms) {
+        if let Some(lease) = self.grant_lease(entry.clone(), &request, now_ms)
+        {
             let body = Body::ShareLease(lease);
             effects.push(Effect::ToEntry(entry, body));
         }
@@ -202,16 +203,16 @@
     fn grant_lease(
         &mut self,
         entry: Name,
-        ask: &ShareRequest,
+        request: &ShareRequest,
         now_ms: u64,
     ) -> Option<ShareLease> {
         let live = self.live_entries();
-        let key = ask.organisation.as_bytes();
+        let key = request.organisation.as_bytes();
         if rendezvous::owner(key, live.iter()) != Some(&self.config.name) {
-            self.shares.owned.remove(ask.organisation.as_str());
+            self.shares.owned.remove(request.organisation.as_str());
             return None;
         }
-        let organisation: Name = ask.organisation.as_str().into();
+        let organisation: Name = request.organisation.as_str().into();
         let is_alone_since_start = live.len() == 1;
         let owned =
             self.shares.owned.entry(organisation).or_insert_with(|| {
@@ -222,9 +223,9 @@
         if !settled {
             return None;
         }
-        let permille = owned.grant(entry, ask.demand_per_s, now_ms);
+        let permille = owned.grant(entry, request.demand_per_s, now_ms);
         Some(ShareLease {
-            organisation: ask.organisation.clone(),
+            organisation: request.organisation.clone(),
             share_permille: permille as u32,
             ttl_ms: SHARE_TTL_MS,
         })
--- a/crates/raildale/src/fleet/agent/server.rs
+++ b/crates/raildale/src/fleet/agent/server.rs
@@ -106,8 +106,8 @@
                 .map_err(Error::from)
                 .and_then(|frame| frames::decode_frame(frame.freeze()));
             match body {
-                Ok(FleetBody::ItemRequest(ask)) => {
-                    self.handle_request(ask, answers)
+                Ok(FleetBody::ItemRequest(request)) => {
+                    self.handle_request(request, answers)
                 }
                 Ok(FleetBody::SliceAck(_)) => window.acknowledge(),
                 Ok(_) => {
@@ -122,21 +122,21 @@
         }
     }
 
-    fn handle_request(&self, ask: ItemRequest, answers: &Answers) {
+    fn handle_request(&self, request: ItemRequest, answers: &Answers) {
         let ticket = {
             let mut open = self.open.borrow_mut();
             open.last_ticket += 1;
             let ticket = Ticket(open.last_ticket);
-            let request = OpenRequest {
-                request_id: ask.question,
+            let open_request = OpenRequest {
+                request_id: request.question,
                 requested_ms: now_ms(),
                 answers: answers.clone(),
             };
-            open.by_ticket.insert(ticket, request);
+            open.by_ticket.insert(ticket, open_request);
             ticket
         };
-        let item = ask.chunk.map_or(Item::Manifest, Item::Chunk);
-        let ItemRequest { version, hops, .. } = ask;
+        let item = request.chunk.map_or(Item::Manifest, Item::Chunk);
+        let ItemRequest { version, hops, .. } = request;
         // The main loop, which receives events, only ends with the process.
         let _ = self.events.send(Event::ItemRequested {
             ticket,
--- a/crates/raildale/src/fleet/agent/worker.rs
+++ b/crates/raildale/src/fleet/agent/worker.rs
@@ -327,11 +327,11 @@
 /// Starts to request the first briefing from the seeds.
 fn request_briefing(reports: &Reports, node: &NodeSettings, service: &str) {
     let seeds = node.seed_entry_hosts().collect();
-    let ask = BriefingRequest {
+    let request = BriefingRequest {
         service: service.to_string(),
         data_centre: node.data_centre.clone(),
     };
-    tokio::task::spawn_local(reports.clone().request_briefing(seeds, ask));
+    tokio::task::spawn_local(reports.clone().request_briefing(seeds, request));
 }
 
 /// Returns the time without a list of agents after which this agent queries
--- a/crates/raildale/src/fleet/entry/briefings.rs
+++ b/crates/raildale/src/fleet/entry/briefings.rs
@@ -99,20 +99,20 @@
 pub fn for_agent<P>(
     host: &EntryHost<P>,
     ip: IpAddr,
-    ask: &BriefingRequest,
+    request: &BriefingRequest,
 ) -> Option<Vec<u8>>
 where
     P: Dialect + Store + 'static,
 {
     let routing = host.gateway.borrow().routing().cloned()?;
-    let service = routing.service(&ask.service)?;
+    let service = routing.service(&request.service)?;
     let base = base(&routing, service)?;
     let mut list = AgentList::of_service(host, service);
     if list.agents.is_empty() && host.members.borrow().is_large() {
         return None;
     }
     if let IpAddr::V4(ip) = ip {
-        list.add_requester(u32::from(ip), &ask.data_centre);
+        list.add_requester(u32::from(ip), &request.data_centre);
     }
     let mut briefing = list.add_to(listless_briefing(host, service, base));
     briefing.is_near = true;
--- a/crates/raildale/src/fleet/entry/host/mod.rs
+++ b/crates/raildale/src/fleet/entry/host/mod.rs
@@ -348,12 +348,12 @@
     /// Waits until no request is in progress and the minimum stay since
     /// `start_ms` is over, but no later than `end_ms`.
     async fn wait_until_idle(&self, start_ms: u64, end_ms: u64) {
-        let least_ms = MIN_LEAVE_MS.min(self.grace_ms / 2);
+        let min_stay_ms = MIN_LEAVE_MS.min(self.grace_ms / 2);
         loop {
             tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             let now = now_ms();
             let is_idle =
-                self.in_progress.get() == 0 && now > start_ms + least_ms;
+                self.in_progress.get() == 0 && now > start_ms + min_stay_ms;
             if is_idle || now >= end_ms {
                 return;
             }
--- a/crates/raildale/src/fleet/entry/host/notices.rs
+++ b/crates/raildale/src/fleet/entry/host/notices.rs
@@ -22,9 +22,9 @@
         let Some(start) = attempt.start else { return };
         let mut gateway = self.gateway.borrow_mut();
         let notices = &mut gateway.targets.notices;
-        let news = notices.record(now_ms(), start, attempt.sent_ms, notice);
+        let changes = notices.record(now_ms(), start, attempt.sent_ms, notice);
         drop(gateway);
-        for change in news {
+        for change in changes {
             self.log_notice(&attempt.target, notice, change);
             if matches!(change, NoticeChange::Lower | NoticeChange::Leaving) {
                 self.urgent_heartbeat_due.notify_one();
@@ -36,9 +36,9 @@
         &self,
         target: &str,
         notice: TargetNotice,
-        news: NoticeChange,
+        change: NoticeChange,
     ) {
-        let (event, suffix) = match news {
+        let (event, suffix) = match change {
             NoticeChange::Malformed => {
                 (LogEvent::NoticeMalformed, String::new())
             }
@@ -63,7 +63,7 @@
         let now = now_ms();
         for report in reports {
             let mut gateway = self.gateway.borrow_mut();
-            let news =
+            let changes =
                 gateway.targets.notices.merge_remote(now, from, &report);
             drop(gateway);
             let notice = TargetNotice {
@@ -71,7 +71,7 @@
                 ..TargetNotice::default()
             };
             let start = format!("{:016x} from=entry host", report.start);
-            for change in news {
+            for change in changes {
                 self.log_notice(&start, notice, change);
             }
         }
--- a/crates/raildale/src/fleet/entry/host/suspects.rs
+++ b/crates/raildale/src/fleet/entry/host/suspects.rs
@@ -50,10 +50,10 @@
         let mut gateway = self.gateway.borrow_mut();
         let changes = gateway.quarantine.take_changes();
         let is_urgent = gateway.quarantine.take_urgent();
-        let most_losses = gateway.quarantine.max_losses() as u64;
+        let max_losses = gateway.quarantine.max_losses() as u64;
         let culprits = gateway.quarantine.culprit_count() as u64;
         drop(gateway);
-        self.metrics.set("suspect_losses_most", "", most_losses);
+        self.metrics.set("suspect_losses_most", "", max_losses);
         self.metrics.set("quarantined_requests", "", culprits);
         if is_urgent {
             self.urgent_heartbeat_due.notify_one();
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -71,9 +71,9 @@
                 }
             }
             (Note::Report(report), from) => handle_report(&host, from, report),
-            (Note::BriefingRequest(ask), from) => {
+            (Note::BriefingRequest(request), from) => {
                 if let Some(note) =
-                    briefings::for_agent(&host, from.ip(), &ask)
+                    briefings::for_agent(&host, from.ip(), &request)
                 {
                     send(&socket, &note, from).await;
                 }
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -98,7 +98,7 @@
 {
     let mut framed = Framed::new(&mut stream, codec::frame_codec());
     let kind = match next_body(&mut framed).await? {
-        FleetBody::SnapshotRequest(ask) => Kind::from_number(ask.kind)
+        FleetBody::SnapshotRequest(request) => Kind::from_number(request.kind)
             .ok_or(Error::new(ErrorKind::Frame, "unknown kind of object"))?,
         _ => return Err(Error::new(ErrorKind::Frame, "unexpected message")),
     };
@@ -206,9 +206,9 @@
 ) -> Result<SnapshotResponse, Error> {
     let stream = frames::connect(from).await?;
     let mut framed = Framed::new(stream, codec::frame_codec());
-    let ask =
+    let request =
         FleetBody::SnapshotRequest(SnapshotRequest { kind: kind.number() });
-    framed.send(frames::encode_body(ask)).await?;
+    framed.send(frames::encode_body(request)).await?;
     match next_body(&mut framed).await? {
         FleetBody::SnapshotResponse(reply) => Ok(reply),
         _ => Err(Error::new(ErrorKind::Frame, "unexpected message")),
