--- a/crates/raildale/src/fleet/agent/mod.rs
+++ b/crates/raildale/src/fleet/agent/mod.rs
@@ -59,7 +59,7 @@
                 return Ok(());
             }
             SignalEvent::SettingsChanged => {
-                log::info!("no setting takes effect while running")
+                log::info!("the settings file is only read at start")
             }
         }
     }
--- a/crates/raildale/src/fleet/entry/host/mod.rs
+++ b/crates/raildale/src/fleet/entry/host/mod.rs
@@ -228,7 +228,10 @@
     /// Logs a signal to reload the settings file. Its values for a process,
     /// addresses and bounds, only take effect at a start.
     pub fn log_reload(&self) {
-        self.log(LogEvent::Reloaded, "no setting takes effect while running");
+        self.log(
+            LogEvent::Reloaded,
+            "the settings file is only read at start",
+        );
     }
 
     /// Returns the limits on callers' requests: those in force, or the
