--- a/crates/raildale/src/fleet/entry/culprits.rs
+++ b/crates/raildale/src/fleet/entry/culprits.rs
@@ -53,7 +53,7 @@
 where
     P: Dialect + Store + 'static,
 {
-    let snapshot = host.known.snapshot(Kind::Quarantine);
+    let snapshot = host.store_mirror.snapshot(Kind::Quarantine);
     let records = snapshot.objects.iter().filter_map(|object| {
         // Objects that do not decode were logged on arrival.
         host.platform.quarantine_record(object).ok()
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -86,7 +86,7 @@
         let is_restored = self.is_of_older_era(kind);
         let progress = |object: &StoredObject| self.progress(kind, object);
         let changes =
-            self.known.replace(kind, snapshot, source_extent, progress);
+            self.store_mirror.replace(kind, snapshot, source_extent, progress);
         if is_restored {
             self.log_retained(kind);
         }
@@ -117,7 +117,7 @@
     ) {
         self.check_answer_stamp(kind, stamp);
         let progress = |object: &StoredObject| self.progress(kind, object);
-        let changes = self.known.apply(kind, stamp, changes, progress);
+        let changes = self.store_mirror.apply(kind, stamp, changes, progress);
         self.apply_changes(
             kind,
             changes,
@@ -193,7 +193,7 @@
         let targets = gateway.targets.iter().filter(is_over);
         let expired: Vec<Name> =
             targets.map(|target| target.spec.id.clone()).collect();
-        let stamp = self.known.stamp(Kind::Targets);
+        let stamp = self.store_mirror.stamp(Kind::Targets);
         for id in expired {
             gateway.targets.depart(now, &id, stamp);
             self.log(LogEvent::TargetGone, &format!("target={id} lapsed"));
@@ -265,7 +265,7 @@
         if self.service_names() != services_before {
             // Adds targets of services that are new in the configuration, and
             // drops those of services that it no longer names.
-            let targets = self.known.snapshot(Kind::Targets);
+            let targets = self.store_mirror.snapshot(Kind::Targets);
             targets
                 .objects
                 .iter()
@@ -356,7 +356,7 @@
                 target.lapse.get_or_insert(Lapse { at_ms: now, is_from_peer });
             }
         } else {
-            let stamp = self.known.stamp(Kind::Targets);
+            let stamp = self.store_mirror.stamp(Kind::Targets);
             gateway.targets.depart(now, name, stamp);
         }
         let detail = format!("target={name} doubtful={is_doubtful}");
@@ -421,7 +421,7 @@
     }
 
     fn apply_members(&self) {
-        let snapshot = self.known.snapshot(Kind::EntryHosts);
+        let snapshot = self.store_mirror.snapshot(Kind::EntryHosts);
         let entries = snapshot
             .objects
             .iter()
--- a/crates/raildale/src/fleet/entry/host/mod.rs
+++ b/crates/raildale/src/fleet/entry/host/mod.rs
@@ -1,15 +1,15 @@
 //! The state that the tasks of an entry host share.
 //!
-//! * [`known_store`]: the local copy of the store, by kind of object.
+//! * [`store_mirror`]: the local copy of the store, by kind of object.
 //! * `changes`: applies the store's changes to routing and members.
 //! * `notices`: what targets announce in their answers.
 //! * `restores`: detection of restores of the store from an older copy.
 //! * `suspects`: losses and records of requests that end their targets.
 
 mod changes;
-pub mod known_store;
 mod notices;
 mod restores;
+pub mod store_mirror;
 mod suspects;
 
 use std::{
@@ -31,7 +31,7 @@
 };
 use tokio::sync::watch;
 
-use self::known_store::KnownStore;
+use self::store_mirror::StoreMirror;
 pub use self::suspects::unix_ms;
 use super::{snapshots::PackedSnapshots, upstream::Pool};
 use crate::{
@@ -84,7 +84,7 @@
     /// are listed again.
     pub store_restored: tokio::sync::Notify,
     /// The local copy of the store.
-    pub known: KnownStore,
+    pub store_mirror: StoreMirror,
     /// Cached snapshots, packed for other entry hosts.
     pub packed: RefCell<PackedSnapshots>,
     /// The number of consecutive fetches from other entry hosts that timed
@@ -193,7 +193,7 @@
             urgent_heartbeat_due: tokio::sync::Notify::new(),
             store_silent: tokio::sync::Notify::new(),
             store_restored: tokio::sync::Notify::new(),
-            known: KnownStore::new(),
+            store_mirror: StoreMirror::new(),
             packed: RefCell::default(),
             fetch_timeouts: Cell::default(),
             fetching: RefCell::default(),
@@ -246,7 +246,7 @@
 
     /// Whether it is ready for callers' requests.
     pub fn is_ready(&self) -> bool {
-        let knows_targets = self.known.is_known(Kind::Targets);
+        let knows_targets = self.store_mirror.is_known(Kind::Targets);
         let has_routing = self.gateway.borrow().routing().is_some();
         knows_targets && has_routing && !self.is_leaving()
     }
@@ -263,7 +263,7 @@
         // In a large fleet only watchers read thousands of targets.
         let is_large = self.members.borrow().is_large();
         let is_delay_over = age_ms > self.store_read_delay_ms && !is_large;
-        match self.known.is_known(kind) {
+        match self.store_mirror.is_known(kind) {
             false if is_first || is_delay_over => true,
             _ if age_ms < INITIAL_LISTEN_MS => false,
             _ => self.members.borrow().is_watcher(now),
@@ -281,7 +281,7 @@
     pub fn may_ask_peers(&self, kind: Kind) -> bool {
         let age_ms = now_ms() - self.started_ms;
         kind == Kind::EntryHosts
-            || self.known.is_known(Kind::EntryHosts)
+            || self.store_mirror.is_known(Kind::EntryHosts)
             || age_ms > INITIAL_LISTEN_MS
     }
 
--- a/crates/raildale/src/fleet/entry/host/restores.rs
+++ b/crates/raildale/src/fleet/entry/host/restores.rs
@@ -20,7 +20,7 @@
 impl<P: Dialect + Store + 'static> EntryHost<P> {
     /// Whether the copy of a kind dates from before the store's last restore.
     pub fn is_of_older_era(&self, kind: Kind) -> bool {
-        Some(self.known.stamp(kind).era) < self.store_era.get()
+        Some(self.store_mirror.stamp(kind).era) < self.store_era.get()
     }
 
     /// Records the era of an answer about a kind. If the store was restored
@@ -33,7 +33,7 @@
         self.store_era.set(Some(answered.era));
         self.metrics.set("store_era", "", answered.era);
         let Some(before) = before else { return };
-        let known = self.known.stamp(kind);
+        let known = self.store_mirror.stamp(kind);
         let detail = format!(
             "era={before}..{} kind={kind:?} revision={answered} known={known}",
             answered.era
@@ -47,7 +47,7 @@
     /// Logs which objects of a kind survive a restore of the store, after a
     /// list of the kind was applied.
     pub(super) fn log_retained(&self, kind: Kind) {
-        let Snapshot { stamp, objects } = self.known.snapshot(kind);
+        let Snapshot { stamp, objects } = self.store_mirror.snapshot(kind);
         let retained = objects.iter().filter(|o| o.stamp.era < stamp.era);
         let retained: Vec<&str> =
             retained.map(|object| &*object.name).collect();
@@ -65,8 +65,8 @@
     /// than the local copy is logged, once for each stamp.
     pub(super) fn check_answer_stamp(&self, kind: Kind, answered: Stamp) {
         self.record_era(kind, answered);
-        let known = self.known.stamp(kind);
-        if !self.known.is_known(kind) || answered >= known {
+        let known = self.store_mirror.stamp(kind);
+        if !self.store_mirror.is_known(kind) || answered >= known {
             return;
         }
         self.metrics.add("store_answers_older_total", "", 1);
@@ -122,7 +122,7 @@
         if relisted.is_empty() {
             return;
         }
-        for object in &self.known.snapshot(Kind::Targets).objects {
+        for object in &self.store_mirror.snapshot(Kind::Targets).objects {
             let start = self.platform.target(object).map(|s| StartId::of(&s));
             if start.is_ok_and(|start| relisted.contains(&start)) {
                 self.apply_target(object);
--- a/crates/raildale/src/fleet/entry/host/known_store.rs
+++ b/crates/raildale/src/fleet/entry/host/store_mirror.rs
@@ -8,13 +8,13 @@
 
 /// The local copy of the store.
 #[derive(Debug)]
-pub struct KnownStore {
-    kinds: RefCell<BTreeMap<Kind, KnownKind>>,
+pub struct StoreMirror {
+    kinds: RefCell<BTreeMap<Kind, KindMirror>>,
 }
 
-/// The local copy of one kind.
+/// The local copy of one kind of object.
 #[derive(Debug, Default)]
-struct KnownKind {
+struct KindMirror {
     mirror: Mirror,
     /// The stamp of the kind's last change, which may be older than the
     /// store's last change of any kind, and the oldest era that the copy
@@ -22,11 +22,11 @@
     extent: Extent,
 }
 
-impl KnownStore {
+impl StoreMirror {
     /// Creates an empty copy.
-    pub(super) fn new() -> KnownStore {
-        let kinds = Kind::ALL.map(|kind| (kind, KnownKind::default()));
-        KnownStore { kinds: RefCell::new(BTreeMap::from(kinds)) }
+    pub(super) fn new() -> StoreMirror {
+        let kinds = Kind::ALL.map(|kind| (kind, KindMirror::default()));
+        StoreMirror { kinds: RefCell::new(BTreeMap::from(kinds)) }
     }
 
     /// Returns the stamp of the store's change up to which a kind is known.
@@ -98,10 +98,10 @@
         change: impl FnOnce(&mut Mirror) -> Vec<Change>,
     ) -> Vec<Change> {
         let mut kinds = self.kinds.borrow_mut();
-        let known = kinds.entry(kind).or_default();
-        let extent = &mut known.extent;
+        let copy = kinds.entry(kind).or_default();
+        let extent = &mut copy.extent;
         extent.changed = extent.changed.max(newest.unwrap_or_default());
         extent.oldest_era = extent.oldest_era.min(oldest_era);
-        change(&mut known.mirror)
+        change(&mut copy.mirror)
     }
 }
--- a/crates/raildale/src/fleet/entry/peers.rs
+++ b/crates/raildale/src/fleet/entry/peers.rs
@@ -244,7 +244,7 @@
     let mut gateway = host.gateway.borrow_mut();
     gateway.set_entry_hosts(hosts, own);
     gateway.set_known_entry_hosts(known);
-    let is_fleet_known = host.known.is_known(Kind::EntryHosts);
+    let is_fleet_known = host.store_mirror.is_known(Kind::EntryHosts);
     gateway.targets.set_fleet_known(is_fleet_known);
     gateway.targets.notices.set_time_of_day(now, unix_ms());
 }
@@ -297,7 +297,7 @@
 {
     let now = now_ms();
     let versions_heard_ms = host.gateway.borrow().versions_heard_ms();
-    let extents = Kind::ALL.map(|kind| host.known.extent(kind));
+    let extents = Kind::ALL.map(|kind| host.store_mirror.extent(kind));
     let hello = Hello {
         name: host.node.name.clone(),
         data_centre: host.node.data_centre.clone(),
@@ -342,7 +342,7 @@
         if host.is_fetching(kind) || !host.may_ask_peers(kind) {
             continue;
         }
-        let own = host.known.extent(kind);
+        let own = host.store_mirror.extent(kind);
         let draw = rand::random_range(0..usize::from(u16::MAX));
         let ahead =
             host.members.borrow_mut().find_ahead(now_ms(), kind, own, draw);
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -123,9 +123,9 @@
         | Kind::EntryHosts
         | Kind::Quarantine => (vec![], vec![]),
     };
-    let snapshot = host.known.snapshot(kind);
+    let snapshot = host.store_mirror.snapshot(kind);
     let Stamp { era, revision } = snapshot.stamp;
-    let Extent { changed, oldest_era } = host.known.extent(kind);
+    let Extent { changed, oldest_era } = host.store_mirror.extent(kind);
     let packed = host.packed.borrow_mut().pack(kind, snapshot)?;
     Ok(SnapshotResponse {
         kind: kind.number(),
--- a/crates/raildale/src/fleet/entry/store_watch.rs
+++ b/crates/raildale/src/fleet/entry/store_watch.rs
@@ -94,7 +94,7 @@
         if !host.may_ask_store(kind) {
             tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             // A copy received from a peer meanwhile can be watched from.
-            must_list = !host.known.is_known(kind);
+            must_list = !host.store_mirror.is_known(kind);
             is_continuous = false;
             continue;
         }
@@ -197,7 +197,7 @@
 where
     P: Dialect + Store + 'static,
 {
-    let known = host.known.stamp(kind);
+    let known = host.store_mirror.stamp(kind);
     let answer = tokio::select! {
         answer = host.platform.watch(kind, known.revision, wait_ms) => answer?,
         () = host.store_silent.notified() => return Err(StoreFailure::Silent),
