--- a/crates/raildale-core/src/agent/target.rs
+++ b/crates/raildale-core/src/agent/target.rs
@@ -197,8 +197,9 @@
     }
 }
 
-/// Asserts the invariant *whole-before-serve*: every chunk of the manifest was
-/// verified and is staged in the slot of this manifest alone.
+/// Asserts the invariant *whole-before-serve* for a download whose chunks are
+/// all staged: its manifest is the ordered one, and every chunk was verified.
+/// The slot belongs to this manifest alone.
 fn assert_whole(download: &Download) {
     let manifest = download.manifest().expect("a staged version has one");
     assert_eq!(
--- a/crates/raildale-core/src/gateway/lapse.rs
+++ b/crates/raildale-core/src/gateway/lapse.rs
@@ -28,10 +28,10 @@
 impl Lapse {
     /// Returns whether the target is gone for good.
     ///
-    /// A host that heard of the lapse from the store counts from the store's
+    /// A host that learned of the lapse from the store counts from the store's
     /// recovery, even after it stops watching. Counting from the lapse would
     /// send a request to a target that left 1.9 s after a recovery 2.1 s after
-    /// it had said so. A host that heard of it from a peer doesn't know when
+    /// it had said so. A host that learned of it from a peer doesn't know when
     /// the store recovered, only that it had recovered by then.
     pub fn is_over(&self, now_ms: u64, store: StoreView) -> bool {
         let is_settled = store.sees_store
--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -45,7 +45,7 @@
 /// each time they are back.
 const CUT_MOMENTS: usize = 4;
 
-/// The number of losses from which an entry host has at most one try of a
+/// The number of losses from which an entry host has at most one attempt of a
 /// request in flight, whose outcome decides.
 const GUARDED_LOSSES: usize = 2;
 
@@ -109,7 +109,7 @@
 pub enum Permission {
     /// It may be sent.
     Allowed,
-    /// It must wait until an earlier try ends, whose outcome decides.
+    /// It must wait until an earlier attempt ends, whose outcome decides.
     Pending,
     /// It must not be sent; trying again is pointless for this many
     /// milliseconds.
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Returns whether a try of the fingerprint is in flight or has just
-    /// broken off.
+    /// Returns whether an attempt with the fingerprint is in flight or has
+    /// just broken off.
     fn is_in_flight(&self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         let has_broken = self.broken.iter().any(|broken| {
             broken.fingerprint == fingerprint
@@ -220,12 +220,12 @@
         has_broken || self.in_flight.contains_key(&fingerprint)
     }
 
-    /// Records that a try was sent to a target.
+    /// Records that an attempt was sent to a target.
     pub fn record_sent(&mut self, fingerprint: Fingerprint) {
         *self.in_flight.entry(fingerprint).or_default() += 1;
     }
 
-    /// Records that a try has ended with any outcome.
+    /// Records that an attempt has ended with any outcome.
     pub fn record_attempt_ended(&mut self, fingerprint: Fingerprint) {
         let Some(count) = self.in_flight.get_mut(&fingerprint) else { return };
         *count -= 1;
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Records that a try broke off at a start of a target.
+    /// Records that an attempt broke off at a start of a target.
     pub fn record_broken(
         &mut self,
         now_ms: u64,
@@ -319,8 +319,8 @@
     }
 
     /// Returns whether a loss has been found since the last call that other
-    /// entry hosts should hear of at once: each of them may have a try of the
-    /// request.
+    /// entry hosts should hear of at once: each of them may have an attempt of
+    /// the request.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.is_urgent)
     }
--- a/crates/raildale-core/src/rendezvous.rs
+++ b/crates/raildale-core/src/rendezvous.rs
@@ -3,7 +3,7 @@
 //! Unlike a hash ring, it needs no shared table: two processes that see the
 //! same live names agree, and the loss of a name moves only the keys that it
 //! owned. The cost is one hash for each candidate. For a few hundred entry
-//! hosts that takes microseconds, once a version and not once a request.
+//! hosts that takes microseconds, once per version and not once per request.
 
 use crate::Name;
 
--- a/crates/raildale-core/src/swarm/reducer/arrivals.rs
+++ b/crates/raildale-core/src/swarm/reducer/arrivals.rs
@@ -9,7 +9,7 @@
     log_event::LogEvent,
     swarm::{
         digest::WeightDigest,
-        sources::{Source, TRIES_PER_SOURCE},
+        sources::{ATTEMPTS_PER_SOURCE, Source},
     },
 };
 
@@ -110,7 +110,7 @@
         let Some(held) = self.versions.get_mut(&version) else { return };
         let Some(slot) = held.slots.get_mut(index as usize) else { return };
         slot.failures += match error {
-            Some(FetchError::Lost) => TRIES_PER_SOURCE,
+            Some(FetchError::Lost) => ATTEMPTS_PER_SOURCE,
             Some(FetchError::Absent) | None => 1,
         };
         slot.not_before_ms = now_ms + pause_ms(slot.failures);
@@ -128,7 +128,7 @@
             held.digests = None;
             held.origin_mismatches = 0;
             // Makes another source the first choice for the next manifest.
-            held.manifest.failures = TRIES_PER_SOURCE;
+            held.manifest.failures = ATTEMPTS_PER_SOURCE;
             let detail = format!("version={version}");
             effects.push(Effect::Log(LogEvent::ManifestMismatch, detail));
         }
--- a/crates/raildale-core/src/swarm/reducer/mod.rs
+++ b/crates/raildale-core/src/swarm/reducer/mod.rs
@@ -5,7 +5,7 @@
 //! * `transfers`: which transfers start, from which source, and their
 //!   time-outs.
 //! * `requests`: requests of other agents for items.
-//! * `target_swap`: staging, and the target's change-over.
+//! * `target_swap`: staging, and the target's swap to a new version.
 //! * `orders`: which orders the target may still carry out.
 //! * `prior_staging`: chunks that an earlier agent left staged.
 
@@ -43,7 +43,7 @@
     pub data_centre: Name,
     /// The maximum number of concurrent transfers.
     pub max_transfers: usize,
-    /// Timing of a change-over.
+    /// Timing of a swap.
     pub swap: SwapConfig,
 }
 
@@ -70,7 +70,7 @@
     phase: SwapPhase,
     /// Whether chunks are being staged.
     is_staging: bool,
-    /// No change-over begins, and no order is sent, before this time.
+    /// No swap begins, and no order is sent, before this time.
     not_before_ms: u64,
     /// When the progress of a version was last logged.
     progress_logged_ms: u64,
@@ -143,8 +143,8 @@
         self.chunk_count.saturating_sub(held) as u32
     }
 
-    /// Returns whether the target serves the newest version and no change-over
-    /// is active.
+    /// Returns whether the target serves the newest version and no swap is
+    /// active.
     pub fn is_settled(&self) -> bool {
         self.target.serves_version >= self.wanted()
             && self.phase == SwapPhase::Idle
--- a/crates/raildale-core/src/swarm/reducer/transfers.rs
+++ b/crates/raildale-core/src/swarm/reducer/transfers.rs
@@ -4,7 +4,7 @@
 use crate::{
     log_event::LogEvent,
     swarm::{
-        sources::{Source, Sources, TRIES_PER_SOURCE},
+        sources::{ATTEMPTS_PER_SOURCE, Source, Sources},
         version::{Fetch, Version},
     },
 };
@@ -305,7 +305,7 @@
         if source == Source::Origin && self.budget.from_origin == 0 {
             // A retry that would go directly to the origin need not wait for
             // it.
-            let failures = failures + TRIES_PER_SOURCE;
+            let failures = failures + ATTEMPTS_PER_SOURCE;
             return self.sources.pick(version, item, failures, hops);
         }
         source
--- a/crates/raildale-core/src/swarm/sources.rs
+++ b/crates/raildale-core/src/swarm/sources.rs
@@ -42,10 +42,10 @@
     Origin,
 }
 
-/// One in this many tries goes directly to the origin. A smaller number
+/// One in this many attempts goes directly to the origin. A smaller number
 /// exhausts the origin's connections when the whole fleet starts empty, as
 /// each agent then requests everything from the origin.
-const DIRECT_TRY_INTERVAL: u32 = 8;
+const DIRECT_ATTEMPT_INTERVAL: u32 = 8;
 
 /// The maximum number of agents of a large fleet whose retries may go directly
 /// to the origin at a time. This number saturates the origin's link.
@@ -55,8 +55,8 @@
 /// many saturate its link; the others send while one opens a connection.
 const MAX_ORIGIN_OWNERS: usize = 8;
 
-/// The number of tries at one source before the next one is selected.
-pub const TRIES_PER_SOURCE: u32 = 2;
+/// The number of attempts at one source before the next one is selected.
+pub const ATTEMPTS_PER_SOURCE: u32 = 2;
 
 /// The maximum number of agents that a request passes before it goes to the
 /// origin: the owner in the data centre and the owner for the origin.
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Selects the source of an item after `failures` failed tries, for a
-    /// request that has passed `hops` agents.
+    /// Selects the source of an item after `failures` failed attempts, for
+    /// a request that has passed `hops` agents.
     pub fn pick(
         &self,
         version: u64,
@@ -229,10 +229,10 @@
         };
         // A source that did not answer in time probably has the item soon
         // after, so it is tried again before another one is selected.
-        let is_direct = failures % DIRECT_TRY_INTERVAL
-            == DIRECT_TRY_INTERVAL - 1
+        let is_direct = failures % DIRECT_ATTEMPT_INTERVAL
+            == DIRECT_ATTEMPT_INTERVAL - 1
             && self.may_go_to_origin(key, failures);
-        let failures = failures / TRIES_PER_SOURCE;
+        let failures = failures / ATTEMPTS_PER_SOURCE;
         let max_hops = match self.trees {
             Some(_) => MAX_TREE_HOPS,
             None => MAX_HOPS,
@@ -246,16 +246,16 @@
             return Source::Peer(peer);
         }
         // The last agent to which the others turn must not request the item
-        // from one of them, not even after failed tries: each would wait for
-        // the other. Otherwise, when the origin became unreachable, 4 chunks
-        // of 64 stayed missing for that reason alone.
+        // from one of them, not even after failed attempts: each would wait
+        // for the other. Otherwise, when the origin became unreachable, 4
+        // chunks of 64 stayed missing for that reason alone.
         if self.origin_owner(key) == Some(self.own_ip) {
             return self.pick_remote(version, key, 0);
         }
         if let Some(trees) = &self.trees {
-            // Failed tries go up the tree and then start at the parent again.
-            // Trying all owners in turn could request from agents that wait
-            // for this one.
+            // Failed attempts go up the tree and then start at the parent
+            // again. Trying all owners in turn could request from agents that
+            // wait for this one.
             return match trees.ancestor(key, failures as usize) {
                 Some(ip) => Source::Peer(ip),
                 None => self.pick_remote(version, key, 0),
@@ -273,7 +273,7 @@
 
     /// Returns whether a retry may go directly to the origin. In a large data
     /// centre only pseudo-randomly selected agents may, about
-    /// [`MAX_DIRECT_AGENTS`] of all. If 204 agents sent one of eight tries
+    /// [`MAX_DIRECT_AGENTS`] of all. If 204 agents sent one of eight attempts
     /// each to an unreachable origin, on its return it would send 34 copies
     /// and serve nobody in time.
     fn may_go_to_origin(&self, key: usize, failures: u32) -> bool {
--- a/crates/raildale-core/src/swarm/swap.rs
+++ b/crates/raildale-core/src/swarm/swap.rs
@@ -1,9 +1,9 @@
 //! Schedules when a target changes to a newer version.
 //!
-//! A target accepts no new requests while it loads weights, so targets change
-//! over one after another. Each version has a time window between the time
-//! when it is usually available everywhere and its bound, and each agent has a
-//! turn within that window. Before its turn the agent stops accepting
+//! A target accepts no new requests while it swaps its weights, so targets do
+//! so one after another. Each version has a time window between the time when
+//! it is usually available everywhere and its bound, and each agent has a turn
+//! within that window. Before its turn the agent stops accepting
 //! requests, so that entry hosts route them to other targets. Requests still
 //! running after [`SwapConfig::drain_ms`] are cut and resumed at another
 //! target, if the service's streams are resumable.
@@ -17,7 +17,7 @@
     CutRunning,
 }
 
-/// Timing of a change-over, in milliseconds.
+/// Timing of a swap, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct SwapConfig {
     /// The time from the naming of a version until its bound, after which no
@@ -25,8 +25,7 @@
     pub bound_ms: u64,
     /// The time from the naming of a version to the first turn. In a fill of
     /// 3.7 s the first agents hold a version after 2.8 s and the last after
-    /// 3.7 s; an earlier first turn spreads the change-overs over more of the
-    /// bound.
+    /// 3.7 s; an earlier first turn spreads the swaps over more of the bound.
     pub fill_ms: u64,
     /// How long running requests may continue before they are cut.
     pub drain_ms: u64,
@@ -51,11 +50,11 @@
 
 impl SwapConfig {
     /// Returns when the agent at position `rank` of `count` begins its
-    /// change-over, if it has held the version since `whole_ms`.
+    /// swap, if it has held the whole version since `whole_ms`.
     ///
     /// A version that arrives late everywhere is still loaded in turns over
-    /// the rest of its bound, as simultaneous change-overs would leave no
-    /// target to serve requests.
+    /// the rest of its bound, as simultaneous swaps would leave no target to
+    /// serve requests.
     pub fn turn_ms(
         &self,
         named_ms: u64,
@@ -71,10 +70,10 @@
     }
 }
 
-/// The phase of a change-over.
+/// The phase of a swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapPhase {
-    /// No change-over is active.
+    /// No swap is active.
     Idle,
     /// No new requests are accepted; chunks are being staged or running
     /// requests drain.
--- a/crates/raildale-core/src/swarm/version.rs
+++ b/crates/raildale-core/src/swarm/version.rs
@@ -37,8 +37,8 @@
 pub struct Slot {
     /// The active transfer, if any.
     pub fetch: Option<Fetch>,
-    /// The number of failed tries since the last success. A lost chunk
-    /// transfer counts as all tries at its source.
+    /// The number of failed attempts since the last success. A lost chunk
+    /// transfer counts as all attempts at its source.
     pub failures: u32,
     /// No new transfer starts before this time.
     pub not_before_ms: u64,
