--- a/crates/raildale-core/src/gateway/quarantine/mod.rs
+++ b/crates/raildale-core/src/gateway/quarantine/mod.rs
@@ -45,7 +45,7 @@
 /// each time they are back.
 const CUT_MOMENTS: usize = 4;
 
-/// The number of losses from which an entry host has at most one try of a
+/// The number of losses from which an entry host has at most one attempt of a
 /// request in flight, whose outcome decides.
 const GUARDED_LOSSES: usize = 2;
 
@@ -109,7 +109,7 @@
 pub enum Permission {
     /// It may be sent.
     Allowed,
-    /// It must wait until an earlier try ends, whose outcome decides.
+    /// It must wait until an earlier attempt ends, whose outcome decides.
     Pending,
     /// It must not be sent; trying again is pointless for this many
     /// milliseconds.
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Returns whether a try of the fingerprint is in flight or has just
-    /// broken off.
+    /// Returns whether an attempt with the fingerprint is in flight or has
+    /// just broken off.
     fn is_in_flight(&self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         let has_broken = self.broken.iter().any(|broken| {
             broken.fingerprint == fingerprint
@@ -220,13 +220,13 @@
         has_broken || self.in_flight.contains_key(&fingerprint)
     }
 
-    /// Records that a try was sent to a target.
-    pub fn note_sent(&mut self, fingerprint: Fingerprint) {
+    /// Records that an attempt was sent to a target.
+    pub fn record_sent(&mut self, fingerprint: Fingerprint) {
         *self.in_flight.entry(fingerprint).or_default() += 1;
     }
 
-    /// Records that a try has ended with any outcome.
-    pub fn note_try_ended(&mut self, fingerprint: Fingerprint) {
+    /// Records that an attempt has ended with any outcome.
+    pub fn record_attempt_ended(&mut self, fingerprint: Fingerprint) {
         let Some(count) = self.in_flight.get_mut(&fingerprint) else { return };
         *count -= 1;
         if *count == 0 {
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Records that a try broke off at a start of a target.
-    pub fn note_broken(
+    /// Records that an attempt broke off at a start of a target.
+    pub fn record_broken(
         &mut self,
         now_ms: u64,
         fingerprint: Fingerprint,
@@ -253,7 +253,7 @@
     /// Records evidence, observed at `at_ms`, that a start has ended, one of
     /// `target_count` targets of its service. The start ended when the first
     /// attempt broke off there, if one did.
-    pub fn note_start_ended(
+    pub fn record_start_ended(
         &mut self,
         now_ms: u64,
         start: StartId,
@@ -274,7 +274,7 @@
         let at_ms = broke_ms.into_iter().min().unwrap_or(at_ms);
         let end = End { start, at_ms, target_count };
         self.ends.push_back(end);
-        self.note_cut(end);
+        self.mark_cut(end);
         for fingerprint in lost {
             self.add_loss(now_ms, fingerprint, end);
         }
@@ -285,20 +285,20 @@
     /// `target_count` targets of its service. The start has ended if an
     /// attempt broke off there shortly before; otherwise, it may not be up
     /// yet.
-    pub fn note_refused_connection(
+    pub fn record_refused_connection(
         &mut self,
         now_ms: u64,
         start: StartId,
         target_count: u32,
     ) {
         if self.broken.iter().any(|broken| broken.start == start) {
-            self.note_start_ended(now_ms, start, now_ms, target_count);
+            self.record_start_ended(now_ms, start, now_ms, target_count);
         }
     }
 
     /// Records that a target answered a request completely and successfully.
     /// The target is alive, so the request doesn't crash targets.
-    pub fn note_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) {
+    pub fn record_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) {
         self.broken.retain(|broken| broken.fingerprint != fingerprint);
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
@@ -310,7 +310,7 @@
 
     /// Lifts a quarantine whose record was deleted.
     pub fn lift(&mut self, now_ms: u64, fingerprint: Fingerprint) {
-        self.note_answered(now_ms, fingerprint);
+        self.record_answered(now_ms, fingerprint);
     }
 
     /// Returns the changes of culprits since the last call.
@@ -319,8 +319,8 @@
     }
 
     /// Returns whether a loss has been found since the last call that other
-    /// entry hosts should hear of at once: each of them may have a try of the
-    /// request.
+    /// entry hosts should hear of at once: each of them may have an attempt of
+    /// the request.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.is_urgent)
     }
@@ -371,12 +371,12 @@
 
     /// Marks the losses at about the time of an end as lost in a cut, if that
     /// end makes it one.
-    fn note_cut(&mut self, end: End) {
+    fn mark_cut(&mut self, end: End) {
         if !self.is_cut(end) {
             return;
         }
         for suspect in self.suspects.values_mut() {
-            suspect.note_cut(end.at_ms);
+            suspect.mark_cut(end.at_ms);
         }
     }
 
--- a/crates/raildale-testkit/src/load/world.rs
+++ b/crates/raildale-testkit/src/load/world.rs
@@ -328,13 +328,13 @@
             Event::ReportReceived { host, target, report } => {
                 let now_ms = self.clock_ms();
                 let targets = &mut self.hosts[host].gateway.targets;
-                targets.note_report(now_ms, address(target), report);
+                targets.record_report(now_ms, address(target), report);
             }
             Event::Heartbeat(host) => self.on_heartbeat(host),
             Event::DigestDue(centre) => self.send_digest(centre),
             Event::RelayedReportReceived { host, target, at_ms, report } => {
                 let targets = &mut self.hosts[host].gateway.targets;
-                targets.note_relayed_report(at_ms, address(target), report);
+                targets.record_relayed_report(at_ms, address(target), report);
             }
             Event::Drain(target) => {
                 self.targets[target].is_accepting = false;
@@ -570,7 +570,7 @@
         if let Some(admission) = call.admission.as_mut() {
             let id = target_id(known.target);
             let took_ms = now_ms - known.sent_ms;
-            gateway.note_begun(now_ms, admission, &id, took_ms);
+            gateway.record_begun(now_ms, admission, &id, took_ms);
         }
         let at_ms = self.now_ms + self.pattern.fleet.caller_way_ms;
         call.record_event(at_ms);
--- a/crates/raildale/src/fleet/entry/snapshots/mod.rs
+++ b/crates/raildale/src/fleet/entry/snapshots/mod.rs
@@ -98,7 +98,7 @@
 {
     let mut framed = Framed::new(&mut stream, codec::frame_codec());
     let kind = match next_body(&mut framed).await? {
-        FleetBody::SnapshotRequest(ask) => Kind::from_number(ask.kind)
+        FleetBody::SnapshotRequest(request) => Kind::from_number(request.kind)
             .ok_or(Error::new(ErrorKind::Frame, "unknown kind of object"))?,
         _ => return Err(Error::new(ErrorKind::Frame, "unexpected message")),
     };
@@ -123,9 +123,9 @@
         | Kind::EntryHosts
         | Kind::Quarantine => (vec![], vec![]),
     };
-    let snapshot = host.known.snapshot(kind);
+    let snapshot = host.store_mirror.snapshot(kind);
     let Stamp { era, revision } = snapshot.stamp;
-    let Extent { changed, oldest_era } = host.known.extent(kind);
+    let Extent { changed, oldest_era } = host.store_mirror.extent(kind);
     let packed = host.packed.borrow_mut().pack(kind, snapshot)?;
     Ok(SnapshotResponse {
         kind: kind.number(),
@@ -206,9 +206,9 @@
 ) -> Result<SnapshotResponse, Error> {
     let stream = frames::connect(from).await?;
     let mut framed = Framed::new(stream, codec::frame_codec());
-    let ask =
+    let request =
         FleetBody::SnapshotRequest(SnapshotRequest { kind: kind.number() });
-    framed.send(frames::encode_body(ask)).await?;
+    framed.send(frames::encode_body(request)).await?;
     match next_body(&mut framed).await? {
         FleetBody::SnapshotResponse(reply) => Ok(reply),
         _ => Err(Error::new(ErrorKind::Frame, "unexpected message")),
--- a/crates/raildale/src/fleet/entry/store_watch.rs
+++ b/crates/raildale/src/fleet/entry/store_watch.rs
@@ -94,7 +94,7 @@
         if !host.may_ask_store(kind) {
             tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             // A copy received from a peer meanwhile can be watched from.
-            must_list = !host.known.is_known(kind);
+            must_list = !host.store_mirror.is_known(kind);
             is_continuous = false;
             continue;
         }
@@ -115,7 +115,7 @@
                 must_list = false;
                 host.record_store_state(true, "");
                 if kind == Kind::Versions {
-                    host.gateway.borrow_mut().note_versions_heard(now_ms());
+                    host.gateway.borrow_mut().record_versions_heard(now_ms());
                 }
             }
             Err(StoreFailure::HistoryGone) => {
@@ -171,7 +171,7 @@
         StoreFailure::Busy | StoreFailure::HistoryGone => false,
     };
     if is_away {
-        host.gateway.borrow_mut().note_versions_heard(started_ms);
+        host.gateway.borrow_mut().record_versions_heard(started_ms);
     }
 }
 
@@ -197,7 +197,7 @@
 where
     P: Dialect + Store + 'static,
 {
-    let known = host.known.stamp(kind);
+    let known = host.store_mirror.stamp(kind);
     let answer = tokio::select! {
         answer = host.platform.watch(kind, known.revision, wait_ms) => answer?,
         () = host.store_silent.notified() => return Err(StoreFailure::Silent),
