--- a/crates/raildale-core/src/agent/peers.rs
+++ b/crates/raildale-core/src/agent/peers.rs
@@ -1,6 +1,6 @@
-//! The agent and its peers: who holds what, asking, serving.
+//! The exchange of chunks and manifests between an agent and its peers.
 
-use super::{Agent, Effect, Scheme, misplaced};
+use super::{Agent, Effect, Scheme, log_unexpected};
 use crate::{
     Digest, LogEvent, Name,
     message::{
@@ -8,13 +8,13 @@
         View,
     },
     spread::{
-        download::{Arrival, Download, Source, Want},
-        upload::{Admitted, Upload},
+        download::{Arrival, Download, DownloadAction, Source},
+        upload::{Upload, UploadAdmission},
     },
 };
 
 impl Agent {
-    pub(super) fn view(
+    pub(super) fn on_view(
         &mut self,
         view: View,
         now_ms: u64,
@@ -30,16 +30,20 @@
             });
         }
         for peer in &gone {
-            self.hangup_if_idle(peer, effects);
+            self.disconnect_if_unused(peer, effects);
         }
-        for name in self.peers_to_meet(digest) {
-            self.meet(digest, &name, effects);
+        for name in self.connected_new_neighbours(digest) {
+            self.start_exchange(digest, &name, effects);
         }
-        self.fill(digest, now_ms, effects);
+        self.request_chunks(digest, now_ms, effects);
     }
 
-    /// Neighbours whose connections are up from an earlier spread.
-    pub(super) fn peers_to_meet(&self, digest: Digest) -> Vec<Name> {
+    /// Returns the neighbours that are connected because of another spread
+    /// and have not been contacted in this one.
+    pub(super) fn connected_new_neighbours(
+        &self,
+        digest: Digest,
+    ) -> Vec<Name> {
         let download = &self.downloads[&digest];
         download
             .neighbours()
@@ -50,7 +54,7 @@
             .collect()
     }
 
-    pub(super) fn peer_up(
+    pub(super) fn on_peer_up(
         &mut self,
         name: &Name,
         now_ms: u64,
@@ -60,16 +64,16 @@
         let digests: Vec<Digest> = self.downloads.keys().copied().collect();
         for digest in digests {
             if self.downloads[&digest].is_neighbour(name) {
-                self.meet(digest, name, effects);
-                self.fill(digest, now_ms, effects);
+                self.start_exchange(digest, name, effects);
+                self.request_chunks(digest, now_ms, effects);
             }
         }
     }
 
-    /// Begins to exchange chunks with a neighbour whose connection is up,
-    /// and which may not have heard of this spread yet: each side tells all
-    /// it holds and asks for the same.
-    pub(super) fn meet(
+    /// Starts the exchange of chunks with a connected neighbour, which may
+    /// not know of this spread yet: sends the indices of all chunks held here
+    /// and asks the neighbour for its own.
+    pub(super) fn start_exchange(
         &mut self,
         digest: Digest,
         name: &Name,
@@ -82,12 +86,12 @@
             let body = Body::ManifestRequest(ask);
             effects.push(Effect::ToPeer(name.clone(), body));
         }
-        let mut have = all_held(download);
+        let mut have = full_have(download);
         have.asks = true;
         effects.push(Effect::ToPeer(name.clone(), Body::Have(have)));
     }
 
-    pub(super) fn peer_down(
+    pub(super) fn on_peer_down(
         &mut self,
         name: &Name,
         now_ms: u64,
@@ -98,21 +102,21 @@
         for digest in digests {
             let download = self.downloads.get_mut(&digest).expect("listed");
             let failed = download.peer_down(name);
-            self.tell_obtained(digest, vec![], failed, effects);
-            self.fill(digest, now_ms, effects);
+            self.report_obtained(digest, vec![], failed, effects);
+            self.request_chunks(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn peer_left(
+    pub(super) fn on_peer_left(
         &mut self,
         name: &Name,
         effects: &mut Vec<Effect>,
     ) {
-        let next = self.uploads.peer_gone(name);
+        let next = self.uploads.remove_peer(name);
         self.send_uploads(next, effects);
     }
 
-    pub(super) fn heard_peer(
+    pub(super) fn on_peer_message(
         &mut self,
         peer: Name,
         body: Body,
@@ -120,19 +124,21 @@
         effects: &mut Vec<Effect>,
     ) {
         match body {
-            Body::Have(have) => self.peer_has(&peer, have, now_ms, effects),
-            Body::ChunkRequest(ask) => self.asked(peer, ask, effects),
+            Body::Have(have) => self.on_have(&peer, have, now_ms, effects),
+            Body::ChunkRequest(ask) => {
+                self.on_chunk_request(peer, ask, effects)
+            }
             Body::ChunkRefused(refused) => {
-                self.chunk_refused(&peer, refused, now_ms, effects)
+                self.on_chunk_refused(&peer, refused, now_ms, effects)
             }
             Body::ManifestRequest(ask) => {
-                self.manifest_asked(peer, ask, effects)
+                self.on_manifest_request(peer, ask, effects)
             }
-            _ => misplaced(&peer, effects),
+            _ => log_unexpected(&peer, effects),
         }
     }
 
-    pub(super) fn peer_has(
+    pub(super) fn on_have(
         &mut self,
         peer: &Name,
         have: Have,
@@ -141,16 +147,16 @@
     ) {
         let Some(digest) = Digest::from_slice(&have.manifest) else { return };
         if let Some(download) = self.downloads.get_mut(&digest) {
-            download.peer_has(peer, &have.bitmap, &have.indices);
+            download.record_held_chunks(peer, &have.bitmap, &have.indices);
             if have.asks {
-                let body = Body::Have(all_held(download));
+                let body = Body::Have(full_have(download));
                 effects.push(Effect::ReplyToPeer(peer.clone(), body));
             }
-            self.fill(digest, now_ms, effects);
+            self.request_chunks(digest, now_ms, effects);
         }
     }
 
-    pub(super) fn manifest_asked(
+    pub(super) fn on_manifest_request(
         &mut self,
         peer: Name,
         ask: ManifestRequest,
@@ -168,7 +174,7 @@
         }
     }
 
-    pub(super) fn asked(
+    pub(super) fn on_chunk_request(
         &mut self,
         peer: Name,
         ask: ChunkRequest,
@@ -189,9 +195,9 @@
         };
         let admitted = holds.then(|| self.uploads.admit(upload.clone()));
         match admitted {
-            Some(Admitted::Now) => self.send_uploads([upload], effects),
-            Some(Admitted::Waiting) => {}
-            Some(Admitted::Busy) | None => {
+            Some(UploadAdmission::Now) => self.send_uploads([upload], effects),
+            Some(UploadAdmission::Waiting) => {}
+            Some(UploadAdmission::Busy) | None => {
                 let refused = ChunkRefused {
                     manifest: ask.manifest,
                     index: ask.index,
@@ -203,7 +209,7 @@
         }
     }
 
-    pub(super) fn chunk_refused(
+    pub(super) fn on_chunk_refused(
         &mut self,
         peer: &Name,
         refused: ChunkRefused,
@@ -215,15 +221,15 @@
         };
         let Some(download) = self.downloads.get_mut(&digest) else { return };
         let index = refused.index as usize;
-        let give_back = download.refused(peer, index, refused.busy, now_ms);
+        let give_back = download.on_refused(peer, index, refused.busy, now_ms);
         if give_back {
             let failed = vec![index];
-            self.tell_obtained(digest, vec![], failed, effects);
+            self.report_obtained(digest, vec![], failed, effects);
         }
-        self.fill(digest, now_ms, effects);
+        self.request_chunks(digest, now_ms, effects);
     }
 
-    pub(super) fn chunk_arrived(
+    pub(super) fn on_chunk_arrived(
         &mut self,
         manifest: Digest,
         index: usize,
@@ -237,10 +243,10 @@
             return;
         };
         let Some(digest) = digest else {
-            self.fetch_failed(manifest, index, source, effects);
+            self.on_fetch_failed(manifest, index, source, effects);
             return;
         };
-        match download.arrived(source, index, digest, now_ms) {
+        match download.on_chunk(source, index, digest, now_ms) {
             Arrival::Verified { granted } => {
                 effects.push(Effect::KeepChunk(digest));
                 let round = download.round();
@@ -248,7 +254,7 @@
                 effects.push(stage);
                 if granted {
                     let held = vec![index];
-                    self.tell_obtained(manifest, held, vec![], effects);
+                    self.report_obtained(manifest, held, vec![], effects);
                 }
                 self.announce(manifest, now_ms, effects);
                 self.log_if_whole(manifest, effects);
@@ -262,15 +268,15 @@
                     let detail = format!("{source:?}");
                     effects.push(Effect::Log(LogEvent::PeerBanned, detail));
                 }
-                self.give_back_if_granted(manifest, index, effects);
+                self.return_if_granted(manifest, index, effects);
             }
         }
-        self.fill(manifest, now_ms, effects);
+        self.request_chunks(manifest, now_ms, effects);
     }
 
-    /// The next try waits for a tick, so that a dead origin is not asked in
-    /// a tight loop.
-    pub(super) fn fetch_failed(
+    /// Handles a failed fetch. The next attempt waits for a tick, so that an
+    /// unreachable origin is not queried in a tight loop.
+    pub(super) fn on_fetch_failed(
         &mut self,
         manifest: Digest,
         index: usize,
@@ -281,18 +287,18 @@
             let detail = format!("chunk {index}");
             effects.push(Effect::Log(LogEvent::OriginFailed, detail));
         }
-        self.give_back_if_granted(manifest, index, effects);
+        self.return_if_granted(manifest, index, effects);
     }
 
-    pub(super) fn give_back_if_granted(
+    pub(super) fn return_if_granted(
         &mut self,
         manifest: Digest,
         index: usize,
         effects: &mut Vec<Effect>,
     ) {
         let download = self.downloads.get_mut(&manifest);
-        if download.is_some_and(|download| download.failed(index)) {
-            self.tell_obtained(manifest, vec![], vec![index], effects);
+        if download.is_some_and(|download| download.on_fetch_failed(index)) {
+            self.report_obtained(manifest, vec![], vec![index], effects);
         }
     }
 
@@ -307,8 +313,8 @@
         }
     }
 
-    /// Asks for chunks until the window is full.
-    pub(super) fn fill(
+    /// Requests chunks until the window is full.
+    pub(super) fn request_chunks(
         &mut self,
         digest: Digest,
         now_ms: u64,
@@ -319,8 +325,9 @@
         }
         let Some(download) = self.downloads.get_mut(&digest) else { return };
         let held = download.verified().len() as u32;
-        for want in download.fill(&mut self.rng, now_ms) {
-            let Want::Fetch { source, address, index, granted } = want;
+        for want in download.fill_window(&mut self.rng, now_ms) {
+            let DownloadAction::Fetch { source, address, index, granted } =
+                want;
             match source {
                 Source::Origin => effects.push(Effect::FetchOrigin {
                     manifest: digest,
@@ -365,7 +372,7 @@
             .get(&manifest)
             .filter(|download| download.verified().contains(index))
             .and_then(|download| download.manifest())
-            .map(|text| text.chunks[index]);
+            .map(|contents| contents.chunks[index]);
         match checked {
             Some(digest) => effects.push(Effect::SendChunk {
                 peer,
@@ -375,7 +382,7 @@
             }),
             // The version was dropped while the request waited.
             None => {
-                let next = self.uploads.sent(&peer, manifest, index);
+                let next = self.uploads.finish(&peer, manifest, index);
                 let refused = ChunkRefused {
                     manifest: manifest.to_vec(),
                     index: index as u32,
@@ -395,7 +402,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let download = self.downloads.get_mut(&digest).expect("listed");
-        let indices = download.take_fresh(now_ms);
+        let indices = download.take_unannounced(now_ms);
         if indices.is_empty() {
             return;
         }
@@ -411,7 +418,7 @@
         }
     }
 
-    pub(super) fn hangup_if_idle(
+    pub(super) fn disconnect_if_unused(
         &self,
         peer: &Name,
         effects: &mut Vec<Effect>,
@@ -421,12 +428,12 @@
             .values()
             .any(|download| download.is_neighbour(peer));
         if !is_used {
-            effects.push(Effect::Hangup(peer.clone()));
+            effects.push(Effect::Disconnect(peer.clone()));
         }
     }
 }
 
-fn all_held(download: &Download) -> Have {
+fn full_have(download: &Download) -> Have {
     Have {
         manifest: download.digest().to_vec(),
         bitmap: download.verified().to_bitmap(),
--- a/crates/raildale-core/src/agent/runs.rs
+++ b/crates/raildale-core/src/agent/runs.rs
@@ -1,9 +1,9 @@
-//! The agent's gate in front of its target: who runs, and who hears of it.
+//! Admission of runs at the target, and delivery of their answers.
 
 use super::{Agent, Effect, RunOrder};
 use crate::{
     Code, Digest, Name,
-    message::{Body, Cancel, Dispatch, Ended, Known, Piece, Query},
+    message::{Body, Cancel, Dispatch, Ended, Piece, Query, QueryReply},
     request::{
         ledger::{Admission, Candidate, Listener},
         run_key::RunKey,
@@ -11,7 +11,7 @@
 };
 
 impl Agent {
-    pub(super) fn dispatch(
+    pub(super) fn on_dispatch(
         &mut self,
         entry: Name,
         dispatch: Dispatch,
@@ -23,14 +23,14 @@
             Listener { entry: entry.clone(), attempt: dispatch.attempt };
         let run_key = match self.own_key(&key) {
             Ok(run_key) => run_key,
-            Err(code) => return tell_end(&key, &listener, code, &[], effects),
+            Err(code) => return send_end(&key, &listener, code, &[], effects),
         };
         let gate = self.gate(&dispatch.model, dispatch.key_is_held);
         let candidate = Candidate {
             key: key.clone(),
             expires_ms: run_key.expires_ms,
-            // Whoever holds a key means to ask again under it, so its answer is
-            // kept whether the request may be repeated or not.
+            // A caller that holds a key may retry under it, so the answer is
+            // kept whether the request is repeatable or not.
             repeatable: dispatch.repeatable && !dispatch.key_is_held,
             listener: listener.clone(),
         };
@@ -40,19 +40,20 @@
                 effects.push(Effect::StartRun(order));
             }
             Admission::Join { so_far } => {
-                tell_piece(&key, &listener, 0, so_far, effects);
+                send_piece(&key, &listener, 0, so_far, effects);
             }
             Admission::Replay { code, answer } => {
                 replay(&key, &listener, code, answer, effects);
             }
             Admission::Refuse(code) => {
-                tell_end(&key, &listener, code, &[], effects);
+                send_end(&key, &listener, code, &[], effects);
             }
         }
     }
 
-    /// A key of another incarnation is never run: the ledger that knew
-    /// whether it had run is gone.
+    /// Parses the text of a key and checks that it belongs to this
+    /// incarnation. A key of another incarnation is never run, because the
+    /// ledger that recorded whether it had run is gone.
     fn own_key(&self, text: &str) -> Result<RunKey, Code> {
         let key = RunKey::parse_unchecked(text).ok_or(Code::RunKeyInvalid)?;
         let is_own = key.agent == self.config.name
@@ -60,9 +61,10 @@
         if is_own { Ok(key) } else { Err(Code::Unknown) }
     }
 
-    /// A held key was pinned here before anybody knew how busy the target
-    /// would be, and can go nowhere else: it may wait in the target's own
-    /// queue, which holds as many again as run at once.
+    /// Returns why a new key cannot be accepted for `model`, if so. A key
+    /// that the caller holds was pinned to this agent before the load of the
+    /// target was known, and cannot run elsewhere. It may therefore wait in
+    /// the target's own queue, which holds as many runs as run at once.
     fn gate(&self, model: &str, key_is_held: bool) -> Result<(), Code> {
         if self.leaving {
             return Err(Code::TargetLeaving);
@@ -99,30 +101,31 @@
         }
     }
 
-    pub(super) fn run_piece(
+    pub(super) fn on_run_piece(
         &mut self,
         key: &Name,
         data: Vec<u8>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some((offset, listeners)) = self.ledger.piece(key, &data) else {
+        let Some((offset, listeners)) = self.ledger.append_piece(key, &data)
+        else {
             return;
         };
         for listener in listeners {
-            tell_piece(key, &listener, offset, data.clone(), effects);
+            send_piece(key, &listener, offset, data.clone(), effects);
         }
     }
 
-    pub(super) fn run_ended(
+    pub(super) fn on_run_ended(
         &mut self,
         key: &Name,
         code: Code,
         now_ms: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(end) = self.ledger.end(key, code) else { return };
+        let Some(end) = self.ledger.finish(key, code) else { return };
         for listener in end.listeners {
-            effects.push(ended(
+            effects.push(end_effect(
                 key,
                 &listener,
                 code,
@@ -131,11 +134,11 @@
             ));
         }
         if self.leaving {
-            self.leave(now_ms, effects);
+            self.on_leave(now_ms, effects);
         }
     }
 
-    pub(super) fn cancel(
+    pub(super) fn on_cancel(
         &mut self,
         entry: Name,
         cancel: Cancel,
@@ -143,13 +146,13 @@
     ) {
         let key: Name = cancel.run_key.as_str().into();
         let gone = Listener { entry, attempt: cancel.attempt };
-        let left = self.ledger.unlisten(&key, &gone);
+        let left = self.ledger.remove_listener(&key, &gone);
         if left == Some(0) && cancel.stop_run {
             effects.push(Effect::StopRun(key));
         }
     }
 
-    pub(super) fn query(
+    pub(super) fn on_query(
         &mut self,
         entry: Name,
         query: Query,
@@ -167,21 +170,22 @@
                 let is_running = self.ledger.is_running(&key);
                 if query.revoke && is_running {
                     effects.push(Effect::StopRun(key.clone()));
-                    self.run_ended(&key, Code::Cancelled, now_ms, effects);
+                    self.on_run_ended(&key, Code::Cancelled, now_ms, effects);
                 }
                 let (code, answer) =
-                    self.ledger.known(&key, expires_ms, now_ms);
-                let code = self.honest(code, &key);
+                    self.ledger.lookup(&key, expires_ms, now_ms);
+                let code = self.confirmed_code(code, &key);
                 (code, answer.unwrap_or_default().to_vec())
             }
         };
-        let known = Known { ask: query.ask, code: code.number(), answer };
-        effects.push(Effect::ToEntry(entry, Body::Known(known)));
+        let known = QueryReply { ask: query.ask, code: code.number(), answer };
+        effects.push(Effect::ToEntry(entry, Body::QueryReply(known)));
     }
 
-    /// "Not run" is only true of a key that is barred from now on. A key that
-    /// was merely asked about may still arrive.
-    fn honest(&self, code: Code, key: &Name) -> Code {
+    /// Replaces [`Code::Revoked`], which means "not run", by
+    /// [`Code::Unknown`] unless the ledger has recorded the key as revoked. A
+    /// key that was only queried may still arrive and run.
+    fn confirmed_code(&self, code: Code, key: &Name) -> Code {
         match code {
             Code::Revoked if !self.ledger.contains(key) => Code::Unknown,
             code => code,
@@ -198,19 +202,25 @@
 ) {
     match (code, answer) {
         (Code::Done, None) => {
-            tell_end(key, listener, Code::AnswerGone, &[], effects)
+            send_end(key, listener, Code::AnswerGone, &[], effects)
         }
         (code, answer) => {
             let answer = answer.unwrap_or_default();
             let length_bytes = answer.len() as u64;
             let digest = Digest::of(&answer);
-            tell_piece(key, listener, 0, answer, effects);
-            effects.push(ended(key, listener, code, length_bytes, digest));
+            send_piece(key, listener, 0, answer, effects);
+            effects.push(end_effect(
+                key,
+                listener,
+                code,
+                length_bytes,
+                digest,
+            ));
         }
     }
 }
 
-fn tell_piece(
+fn send_piece(
     key: &Name,
     listener: &Listener,
     offset_bytes: u64,
@@ -230,7 +240,7 @@
     effects.push(Effect::ToEntry(listener.entry.clone(), body));
 }
 
-fn tell_end(
+fn send_end(
     key: &Name,
     listener: &Listener,
     code: Code,
@@ -239,10 +249,10 @@
 ) {
     let length_bytes = answer.len() as u64;
     let digest = Digest::of(answer);
-    effects.push(ended(key, listener, code, length_bytes, digest));
+    effects.push(end_effect(key, listener, code, length_bytes, digest));
 }
 
-fn ended(
+fn end_effect(
     key: &Name,
     listener: &Listener,
     code: Code,
--- a/crates/raildale-core/src/catalog/mirror.rs
+++ b/crates/raildale-core/src/catalog/mirror.rs
@@ -1,14 +1,14 @@
-//! What is known of one kind of object.
+//! The local copy of one kind of object.
 
 use std::collections::BTreeMap;
 
 use super::{Change, Progress, Snapshot, Stamp, StoredObject};
 use crate::Name;
 
-/// What is known of one kind.
+/// The local copy of one kind.
 ///
-/// Between eras an object only gives way to one that has come as far: a copy
-/// from which the store was restored takes nothing back.
+/// Between eras an object is only replaced by one whose progress is not
+/// behind: a copy from which the store was restored reverts nothing.
 #[derive(Debug, Default)]
 pub struct Mirror {
     stamp: Stamp,
@@ -17,27 +17,27 @@
 }
 
 impl Mirror {
-    /// Nothing known yet.
+    /// Creates an empty mirror.
     pub fn new() -> Mirror {
         Mirror::default()
     }
 
-    /// The store's change up to which the kind is known.
+    /// Returns the last change of the store that is included.
     pub fn stamp(&self) -> Stamp {
         self.stamp
     }
 
-    /// Whether anything has been heard yet.
+    /// Returns whether any snapshot has been received.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
 
-    /// An object by its name.
+    /// Returns an object by its name.
     pub fn get(&self, name: &str) -> Option<&StoredObject> {
         self.objects.get(name)
     }
 
-    /// All of it, to hand on.
+    /// Returns all objects, to forward them to other processes.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             stamp: self.stamp,
@@ -45,37 +45,39 @@
         }
     }
 
-    /// Takes over a whole kind; returns what changed by it. Of an older
-    /// snapshot only what has come further is taken.
+    /// Replaces the contents with a snapshot and returns the resulting
+    /// changes. From an older snapshot only objects with further progress are
+    /// taken.
     pub fn replace(
         &mut self,
         snapshot: Snapshot,
         progress: impl Fn(&StoredObject) -> Option<Progress>,
     ) -> Vec<Change> {
         if self.is_known && snapshot.stamp < self.stamp {
-            return self.take_further(snapshot.objects, &progress);
+            return self.apply_progress(snapshot.objects, &progress);
         }
         let is_restored = self.is_known && snapshot.stamp.era > self.stamp.era;
-        let leave = if is_restored { Change::Lost } else { Change::Deleted };
+        let removal = if is_restored { Change::Lost } else { Change::Deleted };
         let mut known = std::mem::take(&mut self.objects);
         let mut puts = Vec::new();
-        for told in snapshot.objects {
-            let kept = known
-                .remove(&told.name)
-                .filter(|known| !gives_way(known, &told, &progress));
-            if kept.is_none() {
-                puts.push(Change::Put(told.clone()));
+        for received in snapshot.objects {
+            let retained = known
+                .remove(&received.name)
+                .filter(|known| !is_superseded(known, &received, &progress));
+            if retained.is_none() {
+                puts.push(Change::Put(received.clone()));
             }
-            let object = kept.unwrap_or(told);
+            let object = retained.unwrap_or(received);
             self.objects.insert(object.name.clone(), object);
         }
         self.stamp = snapshot.stamp;
         self.is_known = true;
-        known.into_keys().map(leave).chain(puts).collect()
+        known.into_keys().map(removal).chain(puts).collect()
     }
 
-    /// Takes over changes that lead up to `stamp`; returns those that were
-    /// news. Changes of another era do not lead there from what is known.
+    /// Applies changes that lead up to `stamp` and returns those that had an
+    /// effect. Changes of another era or up to an older stamp are ignored:
+    /// they do not continue the known history.
     pub fn apply(
         &mut self,
         stamp: Stamp,
@@ -86,13 +88,14 @@
             return Vec::new();
         }
         self.stamp = stamp;
-        let is_news = |change: &Change| self.take(change, &progress);
-        changes.into_iter().filter(is_news).collect()
+        let is_applied =
+            |change: &Change| self.apply_change(change, &progress);
+        changes.into_iter().filter(is_applied).collect()
     }
 
-    /// Takes over those of some objects that have come further than what is
-    /// known under their names.
-    fn take_further(
+    /// Applies those objects that supersede the known objects of the same
+    /// names, and returns the changes.
+    fn apply_progress(
         &mut self,
         objects: Vec<StoredObject>,
         progress: &impl Fn(&StoredObject) -> Option<Progress>,
@@ -101,23 +104,25 @@
         let known: Vec<StoredObject> =
             objects.into_iter().filter(is_known).collect();
         let puts = known.into_iter().map(Change::Put);
-        puts.filter(|put| self.take(put, progress)).collect()
+        puts.filter(|put| self.apply_change(put, progress)).collect()
     }
 
-    fn take(
+    fn apply_change(
         &mut self,
         change: &Change,
         progress: &impl Fn(&StoredObject) -> Option<Progress>,
     ) -> bool {
         match change {
-            Change::Put(told) => {
-                let known = self.objects.get(&told.name);
-                let is_news =
-                    known.is_none_or(|known| gives_way(known, told, progress));
-                if is_news {
-                    self.objects.insert(told.name.clone(), told.clone());
+            Change::Put(received) => {
+                let known = self.objects.get(&received.name);
+                let is_applied = known.is_none_or(|known| {
+                    is_superseded(known, received, progress)
+                });
+                if is_applied {
+                    self.objects
+                        .insert(received.name.clone(), received.clone());
                 }
-                is_news
+                is_applied
             }
             Change::Deleted(name) | Change::Lost(name) => {
                 self.objects.remove(name).is_some()
@@ -126,20 +131,22 @@
     }
 }
 
-/// Whether a known object gives way to one that is told under its name: the
-/// later one wins, but from one era to another whichever has come further.
-fn gives_way(
+/// Returns whether a known object is superseded by a received one of the same
+/// name: within an era by a later one, and across eras by one with further
+/// progress, or by a later one if their progress is equal or cannot be
+/// compared.
+fn is_superseded(
     known: &StoredObject,
-    told: &StoredObject,
+    received: &StoredObject,
     progress: &impl Fn(&StoredObject) -> Option<Progress>,
 ) -> bool {
-    let is_later = told.stamp > known.stamp;
-    if known.stamp.era == told.stamp.era {
+    let is_later = received.stamp > known.stamp;
+    if known.stamp.era == received.stamp.era {
         return is_later;
     }
-    match (progress(known), progress(told)) {
-        (Some(known), Some(told)) if known.subject == told.subject => {
-            match told.level.cmp(&known.level) {
+    match (progress(known), progress(received)) {
+        (Some(known), Some(received)) if known.subject == received.subject => {
+            match received.level.cmp(&known.level) {
                 std::cmp::Ordering::Greater => true,
                 std::cmp::Ordering::Equal => is_later,
                 std::cmp::Ordering::Less => false,
--- a/crates/raildale-core/src/gateway/admission.rs
+++ b/crates/raildale-core/src/gateway/admission.rs
@@ -1,95 +1,95 @@
-//! Where a request goes, when it waits, and when it is refused.
+//! Decides whether a request is sent to a target, waits or is refused.
 
 use std::{collections::HashMap, sync::Arc};
 
 use super::{
-    ends::TargetEnd,
-    fading::Fading,
-    quarantine::{Quarantine, Standing},
+    decaying_sum::DecayingSum,
+    quarantine::{Permission, Quarantine},
     request::{
-        ANSWER_MARGIN_MS, Admission, Dispatch, Next, Obstacle, Place,
-        RETRY_AFTER_LEAST_MS, Refusal, RequestHead, refusal,
+        ANSWER_MARGIN_MS, Admission, Dispatch, MIN_RETRY_AFTER_MS, Next,
+        Obstacle, QueueKind, Refusal, RequestHead, refusal,
     },
     retry_budget::{RetryBound, RetryBudget},
     routes::{NoRoute, Routing},
     shares::{Sender, Shares},
     target::Target,
+    target_end::TargetEnd,
     targets::{Need, Targets, VersionBound},
     versions::NamedVersion,
-    waiting::{Situation, Verdict, WaitingRoom},
+    waiting::{TargetAvailability, WaitDecision, WaitQueues},
 };
 use crate::{Code, Name};
 
-/// What an entry host is told at its start.
+/// Start-up configuration of a [`Gateway`].
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// The data centre that it stands in.
+    /// The data centre of this entry host.
     pub data_centre: Name,
     /// The bound on repeats.
     pub retries: RetryBound,
-    /// Milliseconds after which a named version must be the oldest that
-    /// starts work; 0 if there is no such bound.
+    /// Milliseconds from the naming of a version until no older version may
+    /// start work; 0 disables the bound.
     pub version_ms: u64,
 }
 
-/// An entry host's beliefs and choices about requests.
+/// An entry host's state and decisions for requests to targets.
 #[derive(Debug)]
 pub struct Gateway {
     pub(super) config: GatewayConfig,
     routing: Option<Arc<Routing>>,
-    /// Every target that is known.
+    /// The known targets.
     pub targets: Targets,
     budgets: HashMap<Name, RetryBudget>,
     pub(super) versions: HashMap<Name, Vec<NamedVersion>>,
-    /// When the store last told some entry host which versions are named, as
-    /// far as known here.
+    /// When the store last reported the named versions to any entry host, as
+    /// far as known here, on this process's clock.
     pub(super) versions_heard_ms: Option<u64>,
-    /// Entry hosts that are alive.
+    /// The number of entry hosts that are alive.
     entry_hosts: usize,
-    /// Entry hosts that may be there, alive or not.
+    /// The number of entry hosts that may exist, alive or not.
     known_entry_hosts: usize,
-    arrivals: Fading,
-    pub(super) room: WaitingRoom,
-    /// Requests that end the targets that run them.
+    arrivals: DecayingSum,
+    pub(super) wait_queues: WaitQueues,
+    /// Detection of requests that crash their targets.
     pub quarantine: Quarantine,
 }
 
-/// What is known of the targets that could take a request.
+/// Availability of the targets that could take a request.
 #[derive(Clone, Copy, Debug)]
-struct Fit {
-    /// Whether there are any.
+struct FittingTargets {
+    /// Whether there are any; if so, they are only full.
     is_full: bool,
-    /// Milliseconds until one takes requests again.
+    /// Milliseconds until one takes requests again; 0 if one does now.
     blocked_ms: u64,
 }
 
-/// Milliseconds between two looks for a target that has room.
-const LOOK_AGAIN_MS: u64 = 20;
+/// The interval at which a waiting request looks for a target with room.
+const POLL_INTERVAL_MS: u64 = 20;
 
-/// A try whose caller waits at least this share of the route's bound is its
-/// first.
+/// A try counts as the caller's first if its deadline is at least this share
+/// of the route's time-out.
 const FIRST_TRY_SHARE: f64 = 0.9;
 
-/// The share of other entry hosts that choose among the same targets: those
-/// in the same data centre, and others when theirs are full.
-const ALIKE_SHARE: f64 = 0.4;
+/// The share of the other entry hosts that compete for the same targets: those
+/// in the same data centre, and others when the targets of theirs are full.
+const COMPETING_SHARE: f64 = 0.4;
 
-/// Time after which a request counts half towards the demand, in
-/// milliseconds: heartbeats tell it every 400 ms.
+/// Half-life of a request's weight in the demand, in milliseconds. Heartbeats
+/// carry the demand every 400 ms.
 const DEMAND_HALF_LIFE_MS: f64 = 1_500.0;
 
-/// Urgency of a stream that goes on: its next event is due before the first
-/// one of any other.
-const URGENCY_GOES_ON: u8 = 2;
+/// Urgency of a stream that is resumed: its next event is due before the first
+/// event of any other request.
+const URGENCY_RESUMED: u8 = 2;
 
-/// Urgency of a request that can still be in time.
+/// Urgency of a request that can still meet its goal.
 const URGENCY_IN_TIME: u8 = 3;
 
 /// Urgency of a request whose goal has passed.
 const URGENCY_LATE: u8 = 7;
 
 impl Gateway {
-    /// An entry host that knows nothing yet.
+    /// Creates a gateway without a configuration, targets or peers.
     pub fn new(config: GatewayConfig) -> Gateway {
         Gateway {
             config,
@@ -100,18 +100,19 @@
             versions_heard_ms: None,
             entry_hosts: 1,
             known_entry_hosts: 1,
-            arrivals: Fading::new(DEMAND_HALF_LIFE_MS),
-            room: WaitingRoom::new(),
+            arrivals: DecayingSum::new(DEMAND_HALF_LIFE_MS),
+            wait_queues: WaitQueues::new(),
             quarantine: Quarantine::new(),
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` until there is one.
     pub fn routing(&self) -> Option<&Arc<Routing>> {
         self.routing.as_ref()
     }
 
-    /// Puts a configuration in force; an older one is refused.
+    /// Puts a configuration in force and returns whether it was newer than the
+    /// current one; an older one is ignored.
     pub fn set_routing(&mut self, routing: Routing) -> bool {
         let is_newer = self
             .routing
@@ -123,32 +124,34 @@
         is_newer
     }
 
-    /// Notes which entry hosts are alive, in an order on which all agree, and
-    /// the place of this one: they share the targets' slots.
+    /// Sets the entry hosts that are alive, which share the targets' slots.
+    /// `hosts` must be in the same order on all of them; `own` is this host's
+    /// index.
     pub fn set_entry_hosts(&mut self, hosts: Vec<Sender>, own: usize) {
         self.entry_hosts = hosts.len().max(1);
         let others = (self.entry_hosts - 1) as f64;
         self.quarantine.set_place(own, self.entry_hosts);
         let shares = Shares::new(hosts, own);
-        self.targets.set_senders(1.0 + others * ALIKE_SHARE, shares);
+        self.targets.set_senders(1.0 + others * COMPETING_SHARE, shares);
     }
 
-    /// Notes how many entry hosts there may be: these share the bound on
-    /// repeats, and what targets with a limit take. One that is silent or cut
-    /// off may still spend its part.
+    /// Sets the number of entry hosts that may exist. They share the retry
+    /// bound and the limits that targets name, since one that is silent or cut
+    /// off may still use its part.
     pub fn set_known_entry_hosts(&mut self, count: usize) {
         self.known_entry_hosts = count.max(1);
         let silent = self.known_entry_hosts.saturating_sub(self.entry_hosts);
         self.targets.set_silent_senders(silent);
     }
 
-    /// Requests that come in a second, as of late: what this entry host needs
-    /// targets for.
+    /// Returns the recent rate of incoming requests per second: this entry
+    /// host's demand for targets.
     pub fn demand_per_s(&self, now_ms: u64) -> f64 {
         self.arrivals.rate_per_s(now_ms)
     }
 
-    /// Lets a request in, or refuses it.
+    /// Admits or refuses a request. `draw` is a random number that selects the
+    /// service.
     ///
     /// # Errors
     ///
@@ -174,13 +177,13 @@
             .ok_or(refusal(Code::NoTarget))?;
         let left_ms = head.deadline_ms.unwrap_or(route.timeout_ms);
         let held_ms = left_ms.min(route.timeout_ms);
-        let sharers = self.known_entry_hosts;
-        self.budget(&service.name).note_request(sharers);
+        let host_count = self.known_entry_hosts;
+        self.budget(&service.name).note_request(host_count);
         self.arrivals.add(now_ms, 1.0);
         Ok(Admission {
             fingerprint: None,
             due_ms: now_ms + held_ms.saturating_sub(ANSWER_MARGIN_MS),
-            is_back: (left_ms as f64)
+            is_retry: (left_ms as f64)
                 < route.timeout_ms as f64 * FIRST_TRY_SHARE,
             route,
             organisation,
@@ -188,8 +191,8 @@
             model: head.model.clone(),
             arrived_ms: now_ms,
             sent_ms: now_ms,
-            place: Place::Nowhere,
-            turn: None,
+            queue_kind: QueueKind::NotQueued,
+            queue_key: None,
             tried: Vec::new(),
             sent_to: None,
             last_event_ms: None,
@@ -198,10 +201,11 @@
         })
     }
 
-    /// Where a request goes now. To be asked again after the time told as
-    /// long as it waits.
+    /// Decides what to do with a request now. On [`Next::Wait`], call this
+    /// again after the given time.
     ///
-    /// `since_ms` is when it began to wait for this attempt.
+    /// `since_ms` is when the request began to wait for this attempt, and
+    /// `draw` a random number for the choice of a target.
     pub fn next(
         &mut self,
         now_ms: u64,
@@ -209,14 +213,14 @@
         since_ms: u64,
         draw: u32,
     ) -> Next {
-        let next = self.choose(now_ms, request, since_ms, draw);
+        let next = self.decide_next(now_ms, request, since_ms, draw);
         if !matches!(next, Next::Wait(_)) {
-            self.room.leave(request);
+            self.wait_queues.leave(request);
         }
         next
     }
 
-    fn choose(
+    fn decide_next(
         &mut self,
         now_ms: u64,
         request: &mut Admission,
@@ -232,46 +236,46 @@
             let refusal = self.give_up(request, Code::TargetBusy);
             return Next::Refuse(refusal.with_obstacle(Obstacle::Attempts));
         }
-        if let Some(next) = self.keep(now_ms, request, since_ms) {
+        if let Some(next) = self.check_quarantine(now_ms, request, since_ms) {
             return next;
         }
-        self.targets.share_out(now_ms, &request.service);
+        self.targets.update_own_slots(now_ms, &request.service);
         let model = request.model.as_deref();
         let bounds = self.version_bounds(now_ms, model);
-        let least_version =
-            model.map_or(0, |model| self.least_version(now_ms, model, 0));
+        let min_version =
+            model.map_or(0, |model| self.min_version(now_ms, model, 0));
         let need = self.need(now_ms, request, &bounds);
         let is_late = need.is_late;
-        let picked = match self.room.is_next(now_ms, request) {
+        let picked = match self.wait_queues.is_next(now_ms, request) {
             true => self.targets.pick(now_ms, need, draw),
             false => None,
         };
         let Some(target) = picked else {
-            let fit = Fit {
+            let fitting = FittingTargets {
                 is_full: self.targets.any_fits(now_ms, need),
                 blocked_ms: self.targets.blocked_ms(now_ms, need),
             };
-            return self.wait_or_refuse(now_ms, request, since_ms, fit);
+            return self.wait_or_refuse(now_ms, request, since_ms, fitting);
         };
         let start = target.start;
         let dispatch = Dispatch {
             target: target.spec.id.clone(),
             address: target.spec.address,
-            version: unconfirmed_version(target, now_ms, least_version),
+            version: unconfirmed_version(target, now_ms, min_version),
             urgency: match (is_late, request.last_event_ms) {
                 (true, _) => URGENCY_LATE,
-                (false, Some(_)) => URGENCY_GOES_ON,
+                (false, Some(_)) => URGENCY_RESUMED,
                 (false, None) => URGENCY_IN_TIME,
             },
         };
         let is_repeat = attempts > 0;
-        let sharers = self.known_entry_hosts;
+        let host_count = self.known_entry_hosts;
         let service = request.service.name.clone();
-        if is_repeat && !self.budget(&service).try_repeat(sharers) {
+        if is_repeat && !self.budget(&service).try_repeat(host_count) {
             let refusal = self.give_up(request, Code::TargetBusy);
             return Next::Refuse(refusal.with_obstacle(Obstacle::Budget));
         }
-        self.room.note_sent(now_ms, request);
+        self.wait_queues.note_sent(now_ms, request);
         if !is_repeat {
             request.sent_ms = now_ms;
         }
@@ -286,12 +290,13 @@
         Next::Send(dispatch)
     }
 
-    /// What becomes of a request that must not be sent now, since others like
-    /// it ended the targets that ran them; `None` if it may be sent.
+    /// Returns what to do with a request that must not be sent now because
+    /// requests with its fingerprint crashed their targets; `None` if it may
+    /// be sent.
     ///
-    /// One that waits for an earlier try of its own kind does so as long as
-    /// it can be in time.
-    fn keep(
+    /// A request that waits for an earlier try with its fingerprint does so
+    /// for as long as it can meet its goal.
+    fn check_quarantine(
         &self,
         now_ms: u64,
         request: &Admission,
@@ -299,31 +304,36 @@
     ) -> Option<Next> {
         let fingerprint = request.fingerprint?;
         let waited_ms = now_ms.saturating_sub(since_ms);
-        let back_ms = match self.quarantine.standing(now_ms, fingerprint) {
-            Standing::Free => return None,
-            Standing::Waits if waited_ms < request.route.goal_ms => {
-                return Some(Next::Wait(LOOK_AGAIN_MS));
+        let retry_ms = match self.quarantine.permission(now_ms, fingerprint) {
+            Permission::Allowed => return None,
+            Permission::Pending if waited_ms < request.route.goal_ms => {
+                return Some(Next::Wait(POLL_INTERVAL_MS));
             }
-            Standing::Waits => RETRY_AFTER_LEAST_MS,
-            Standing::Kept(back_ms) => back_ms.max(RETRY_AFTER_LEAST_MS),
+            Permission::Pending => MIN_RETRY_AFTER_MS,
+            Permission::Denied(retry_ms) => retry_ms.max(MIN_RETRY_AFTER_MS),
         };
         let mut refusal = self.give_up(request, Code::Quarantined);
-        refusal.retry_after_ms = refusal.retry_after_ms.map(|_| back_ms);
+        refusal.retry_after_ms = refusal.retry_after_ms.map(|_| retry_ms);
         Some(Next::Refuse(refusal.with_obstacle(Obstacle::Quarantine)))
     }
 
-    /// Starts of targets that have ended since this was last asked.
+    /// Returns the target starts that have ended since the last call.
     pub fn take_ends(&mut self, now_ms: u64) -> Vec<TargetEnd> {
         let ends = self.targets.take_ends();
         for end in &ends {
             let at_ms = end.at_ms.unwrap_or(now_ms);
-            let of = self.targets.count(&end.service);
-            self.quarantine.note_end(now_ms, end.start, at_ms, of);
+            let target_count = self.targets.count(&end.service);
+            self.quarantine.note_start_ended(
+                now_ms,
+                end.start,
+                at_ms,
+                target_count,
+            );
         }
         ends
     }
 
-    /// What a target has to be for a request.
+    /// Returns the requirements of a request on its target.
     fn need<'a>(
         &'a self,
         now_ms: u64,
@@ -332,7 +342,7 @@
     ) -> Need<'a> {
         let engine = request.service.engine.as_ref();
         Need {
-            is_late: self.room.is_late(now_ms, request),
+            is_late: self.wait_queues.is_late(now_ms, request),
             service: &request.service.name,
             data_centre: &self.config.data_centre,
             bounds,
@@ -341,8 +351,8 @@
         }
     }
 
-    /// Whether a target that did not have a request before could take it
-    /// now.
+    /// Returns whether a target that has not had a request before could take
+    /// it now.
     pub(super) fn has_room_elsewhere(
         &self,
         now_ms: u64,
@@ -354,42 +364,43 @@
         self.targets.any_has_room(now_ms, need)
     }
 
-    /// What becomes of a request that no target takes now.
+    /// Decides whether a request that no target takes now waits or is refused.
     fn wait_or_refuse(
         &mut self,
         now_ms: u64,
         request: &mut Admission,
         since_ms: u64,
-        fit: Fit,
+        fitting: FittingTargets,
     ) -> Next {
         let service = &request.service;
         let rate_per_s =
             self.targets.rate_per_s(now_ms, service) / self.entry_hosts as f64;
-        let situation = Situation {
-            is_full: fit.is_full,
+        let availability = TargetAvailability {
+            is_full: fitting.is_full,
             ready_ms: self.targets.ready_in_ms(now_ms, &service.name),
             rate_per_s,
-            blocked_ms: fit.blocked_ms,
-            all_leave: self.targets.all_leave(&service.name),
+            blocked_ms: fitting.blocked_ms,
+            all_leaving: self.targets.all_leaving(&service.name),
         };
         let waited_ms = now_ms.saturating_sub(since_ms);
-        match self.room.judge(now_ms, request, waited_ms, situation) {
-            Verdict::Wait(place) => {
-                self.room.enter(request, place);
-                Next::Wait(LOOK_AGAIN_MS)
+        match self.wait_queues.decide(now_ms, request, waited_ms, availability)
+        {
+            WaitDecision::Wait(queue_kind) => {
+                self.wait_queues.enter(request, queue_kind);
+                Next::Wait(POLL_INTERVAL_MS)
             }
-            Verdict::GiveUp(back_ms) => {
+            WaitDecision::GiveUp(retry_ms) => {
                 let mut refusal = self.give_up(request, Code::NoTarget);
                 let is_not_run = refusal.retry_after_ms.is_some();
-                refusal.retry_after_ms = is_not_run.then_some(back_ms);
+                refusal.retry_after_ms = is_not_run.then_some(retry_ms);
                 Next::Refuse(refusal.with_obstacle(Obstacle::Targets))
             }
         }
     }
 
-    /// A request no longer waits here: its caller has left.
+    /// Removes a request whose caller has left from the queue.
     pub fn stop_waiting(&mut self, request: &mut Admission) {
-        self.room.leave(request);
+        self.wait_queues.leave(request);
     }
 
     fn budget(&mut self, service: &Name) -> &mut RetryBudget {
@@ -400,15 +411,16 @@
     }
 }
 
-/// The version to insist on: none while the target's agent tells what it
-/// serves. A target refuses any other version, a newer one too, so insisting
-/// on it costs an attempt when the target has just changed over.
+/// Returns the version to require of a target; `None` while its agent reports
+/// the version that it serves. A target refuses any other version, even a
+/// newer one, so that requiring it costs an attempt when the target has just
+/// switched.
 fn unconfirmed_version(
     target: &Target,
     now_ms: u64,
-    least_version: u64,
+    min_version: u64,
 ) -> Option<u64> {
-    if least_version == 0 || target.report(now_ms).is_some() {
+    if min_version == 0 || target.report(now_ms).is_some() {
         return None;
     }
     target.spec.serves_version
--- a/crates/raildale-core/src/gateway/outcomes.rs
+++ b/crates/raildale-core/src/gateway/outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows from how a request went at a target.
+//! Handling of the outcome of attempts at targets.
 
 use super::{
     admission::Gateway,
@@ -8,37 +8,39 @@
 };
 use crate::Code;
 
-/// What has not begun at an older version this long before its bound is
-/// withdrawn.
+/// A request that has not begun at a target with an older version is withdrawn
+/// this many milliseconds before that version's bound.
 const WITHDRAW_MARGIN_MS: u64 = 700;
 
-/// Silence after which a target whose agent is silent too, or says that it
-/// is down, is given up, in milliseconds.
-const SUSPECT_AFTER_MS: u64 = 250;
+/// Silence, in milliseconds, after which the request is moved from a target
+/// whose agent is silent too or reports it down.
+const SILENCE_TIMEOUT_MS: u64 = 250;
 
-/// Silence within a stream after which its target is given up whatever its
-/// agent says, in milliseconds: callers leave after two seconds at least.
-const STREAM_PATIENCE_MS: u64 = 1_000;
+/// Silence within a stream, in milliseconds, after which the stream is moved
+/// whatever the target's agent reports. Callers leave after two seconds at the
+/// earliest.
+const STREAM_SILENCE_TIMEOUT_MS: u64 = 1_000;
 
-/// Goals that a repeatable request waits for a target without an agent.
-const GOALS_OF_PATIENCE: u64 = 3;
+/// The number of latency goals for which a repeatable request waits for a
+/// target without an agent.
+const SILENCE_TIMEOUT_GOALS: u64 = 3;
 
-/// Why another target is asked for a request that one is silent about.
+/// Why a request is moved to another target while one is silent about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silence {
-    /// The list of targets does not name it.
+    /// The target is not listed.
     Unlisted,
-    /// Its agent is silent as well.
+    /// The target's agent is silent as well.
     Agent,
-    /// Its agent says that it is down.
+    /// The target's agent reports that the target is down.
     Down,
-    /// Nothing has come for longer than such a request waits.
+    /// The target has been silent for longer than such a request waits.
     TooLong,
 }
 
 impl Gateway {
-    /// Notes that a request has begun at a target, `took_ms` after it was
-    /// sent there.
+    /// Records that a request has begun at a target, `took_ms` after it was
+    /// sent.
     pub fn note_begun(
         &mut self,
         now_ms: u64,
@@ -50,16 +52,17 @@
             return;
         }
         self.targets.note_begun(target);
-        // One that goes on has to read what it has written as well.
+        // A resumed stream is left out: its target also has to read what was
+        // already generated.
         if request.tried.len() == 1 {
             let service = &request.service.name;
-            self.room.note_first_event(now_ms, service, took_ms);
+            self.wait_queues.note_first_event(now_ms, service, took_ms);
         }
     }
 
-    /// Takes in how an attempt ended. Says whether the request may be sent
+    /// Handles the end of an attempt. Returns whether the request may be sent
     /// again.
-    pub fn ended(
+    pub fn on_attempt_ended(
         &mut self,
         now_ms: u64,
         request: &mut Admission,
@@ -68,7 +71,7 @@
     ) -> bool {
         let has_begun = request.has_begun;
         self.targets.note_ended(now_ms, target, outcome, has_begun);
-        self.suspect(now_ms, request, outcome);
+        self.update_quarantine(now_ms, request, outcome);
         match outcome {
             Outcome::Whole | Outcome::Withdrawn => false,
             Outcome::Refused
@@ -82,19 +85,28 @@
         }
     }
 
-    /// Takes in what an attempt's end tells of whether the request ends the
-    /// targets that run it.
-    fn suspect(&mut self, now_ms: u64, request: &Admission, outcome: Outcome) {
+    /// Updates the quarantine's record of the request with an attempt's
+    /// outcome.
+    fn update_quarantine(
+        &mut self,
+        now_ms: u64,
+        request: &Admission,
+        outcome: Outcome,
+    ) {
         let Some(fingerprint) = request.fingerprint else { return };
-        self.quarantine.note_over(fingerprint);
+        self.quarantine.note_try_ended(fingerprint);
         let Some(start) = request.sent_to else { return };
         match outcome {
             Outcome::Broken => {
                 self.quarantine.note_broken(now_ms, fingerprint, start);
             }
             Outcome::NobodyThere => {
-                let of = self.targets.count(&request.service.name);
-                self.quarantine.note_nobody(now_ms, start, of);
+                let target_count = self.targets.count(&request.service.name);
+                self.quarantine.note_refused_connection(
+                    now_ms,
+                    start,
+                    target_count,
+                );
             }
             Outcome::Whole
             | Outcome::Refused
@@ -104,14 +116,14 @@
         }
     }
 
-    /// Takes in that a target answered a request whole and with success.
+    /// Records that a target answered a request completely and successfully.
     pub fn note_answered(&mut self, now_ms: u64, request: &Admission) {
         if let Some(fingerprint) = request.fingerprint {
             self.quarantine.note_answered(now_ms, fingerprint);
         }
     }
 
-    /// Takes back an attempt whose caller has left.
+    /// Records that an attempt was withdrawn because its caller has left.
     pub fn withdraw(
         &mut self,
         now_ms: u64,
@@ -121,11 +133,12 @@
     ) {
         let outcome = Outcome::Withdrawn;
         self.targets.note_ended(now_ms, target, outcome, has_begun);
-        self.quarantine.note_over(fingerprint);
+        self.quarantine.note_try_ended(fingerprint);
     }
 
-    /// Whether a request that has not begun at a target must be taken back:
-    /// the version there is about to be too old to start.
+    /// Returns whether a request that has not begun at a target must be
+    /// withdrawn because the version there is about to become too old to start
+    /// work.
     pub fn is_too_old(
         &self,
         now_ms: u64,
@@ -133,16 +146,16 @@
         target: &str,
     ) -> bool {
         let Some(model) = &request.model else { return false };
-        let least = self.least_version(now_ms, model, WITHDRAW_MARGIN_MS);
+        let min_version = self.min_version(now_ms, model, WITHDRAW_MARGIN_MS);
         let serves = self
             .targets
             .get(target)
             .and_then(|known| known.serves_version(now_ms));
-        serves.is_some_and(|version| version < least)
+        serves.is_some_and(|version| version < min_version)
     }
 
-    /// Why another target is asked for a request that one has been silent
-    /// about for `silent_ms`; `None` if none is.
+    /// Returns why a request should be moved to another target after this one
+    /// has been silent about it for `silent_ms`; `None` if it should stay.
     pub fn silence(
         &self,
         now_ms: u64,
@@ -154,7 +167,7 @@
         let tries = request.tried.len() as u32;
         let may_move =
             request.route.may_repeat() && tries < request.route.max_attempts;
-        if !may_move || silent_ms < SUSPECT_AFTER_MS {
+        if !may_move || silent_ms < SILENCE_TIMEOUT_MS {
             return None;
         }
         let Some(known) = self.targets.get(target) else {
@@ -167,19 +180,19 @@
         if report.is_some_and(|report| !report.is_up) {
             return Some(Silence::Down);
         }
-        let patience_ms = match (has_begun, report.is_some()) {
-            // A stream that has begun is not given up for nothing: what is
-            // on its way may only be delayed.
-            (true, _) if silent_ms < STREAM_PATIENCE_MS => u64::MAX,
+        let timeout_ms = match (has_begun, report.is_some()) {
+            // A stream that has begun is moved only if another target has
+            // room: its events may only be delayed.
+            (true, _) if silent_ms < STREAM_SILENCE_TIMEOUT_MS => u64::MAX,
             (true, _) if self.has_room_elsewhere(now_ms, request) => 0,
             (true, _) => u64::MAX,
             (false, true) => u64::MAX,
-            (false, false) => request.route.goal_ms * GOALS_OF_PATIENCE,
+            (false, false) => request.route.goal_ms * SILENCE_TIMEOUT_GOALS,
         };
-        (silent_ms >= patience_ms).then_some(Silence::TooLong)
+        (silent_ms >= timeout_ms).then_some(Silence::TooLong)
     }
 
-    /// The final answer for a request that nobody answers any more.
+    /// Returns the final refusal of a request that is not sent again.
     pub fn give_up(&self, request: &Admission, code: Code) -> Refusal {
         if request.may_have_run {
             return refusal(Code::Unknown);
--- a/crates/raildale-core/src/gateway/waiting.rs
+++ b/crates/raildale-core/src/gateway/waiting.rs
@@ -1,94 +1,97 @@
-//! Requests that wait at an entry host for a target, and how long they may.
+//! Queues of requests that wait at an entry host for a target, and limits on
+//! how long they wait.
 //!
-//! In an overload, first come first served makes everybody late. Whoever can
-//! still be in time goes first, and waits only as long as that holds. Whoever
-//! cannot, a try that is back among them, takes what slots are left over,
-//! and waits only if others like it are being served fast enough. Everybody
-//! else is refused at once.
+//! In an overload, serving requests in order of arrival makes all of them
+//! late. Requests that can still meet their goal go first, and wait only as
+//! long as they can meet it. Those that can't, among them callers' later
+//! tries, take the slots that are left, and wait only if the late queue drains
+//! fast enough. All others are refused at once.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::{
-    fading::Fading,
-    request::{Admission, Place, RETRY_AFTER_LEAST_MS, Turn},
+    decaying_sum::DecayingSum,
+    request::{Admission, MIN_RETRY_AFTER_MS, QueueKey, QueueKind},
     routes::RouteKind,
 };
 use crate::Name;
 
-/// Who waits here, by service.
+/// The requests that wait on this entry host, by service.
 #[derive(Debug, Default)]
-pub struct WaitingRoom {
+pub struct WaitQueues {
     queues: HashMap<Name, Queue>,
-    /// Requests that have waited here so far.
-    entered: u64,
+    /// The number of requests that have been queued so far.
+    sequence: u64,
 }
 
-/// Requests for one service.
+/// The queues of one service.
 #[derive(Debug)]
 struct Queue {
-    /// By the time when they have to be sent.
-    in_time: BTreeSet<Turn>,
-    /// By the time when they came.
-    late: BTreeSet<Turn>,
+    /// Requests that can meet their goal, by the time by which their first
+    /// event is due.
+    in_time: BTreeSet<QueueKey>,
+    /// Late requests, by time of arrival.
+    late: BTreeSet<QueueKey>,
     /// Late requests that were sent to a target.
-    late_sent: Fading,
-    /// From sending a request to its first event, in milliseconds.
-    first_event_ms: Fading,
+    late_sent: DecayingSum,
+    /// Time from sending a request to its first event, in milliseconds.
+    first_event_ms: DecayingSum,
 }
 
-/// What is known when a request finds no target.
+/// The state of the targets when a request finds none.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Situation {
-    /// Whether targets serve it and are only full.
+pub struct TargetAvailability {
+    /// Whether targets that serve the request exist and are only full.
     pub is_full: bool,
-    /// Milliseconds until the next target will serve, if that is known.
+    /// Milliseconds until the next target will serve; `None` if unknown.
     pub ready_ms: Option<u64>,
-    /// Requests that targets finish in a second, for this entry host; while
-    /// none serves, that they will.
+    /// This entry host's part of the requests that targets finish per second;
+    /// while no target serves, of those they will finish.
     pub rate_per_s: f64,
-    /// Milliseconds until a target takes any again; 0 if one does. Targets
-    /// that name a limit take none while they have got more than that.
+    /// Milliseconds until a target accepts requests again; 0 if one does now.
+    /// Targets that name a limit accept none while they have received more
+    /// than that.
     pub blocked_ms: u64,
-    /// Whether every target that is known leaves: another has to start first.
-    pub all_leave: bool,
+    /// Whether all known targets are leaving: another has to start first.
+    pub all_leaving: bool,
 }
 
-/// What becomes of a request that finds no target.
+/// The decision on a request that finds no target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It waits on, in this place.
-    Wait(Place),
-    /// It is given up; if it has not run, it may come back after this many
-    /// milliseconds.
+pub enum WaitDecision {
+    /// The request waits in this queue.
+    Wait(QueueKind),
+    /// The request is given up; if it has not run, it may be tried again after
+    /// this many milliseconds.
     GiveUp(u64),
 }
 
-/// Time after which what was seen of a queue counts half, in milliseconds: a
-/// change of load shows within a second or two, and a single burst does not
-/// rule alone.
-const HALF_LIFE_MS: f64 = 1_000.0;
+/// Half-life of the weight of what is measured on a queue, in milliseconds. A
+/// change of load shows within a second or two, and no single burst dominates.
+const QUEUE_HALF_LIFE_MS: f64 = 1_000.0;
 
-/// What a first event takes at a target with room, in milliseconds: 115 to
-/// 150 on targets that are half full. The guess before any was seen, which
-/// counts as much as [`FIRST_EVENT_GUESSES`] of them.
-const FIRST_EVENT_MS: f64 = 120.0;
+/// The assumed time to the first event at a target with room, in milliseconds,
+/// which has the weight of [`FIRST_EVENT_PRIOR_WEIGHT`] measurements. It is
+/// 115 to 150 ms on targets that are half full.
+const ASSUMED_FIRST_EVENT_MS: f64 = 120.0;
 
-/// What the guess counts for.
-const FIRST_EVENT_GUESSES: f64 = 3.0;
+/// The weight of the assumed time to the first event.
+const FIRST_EVENT_PRIOR_WEIGHT: f64 = 3.0;
 
-/// The share of its goal that a request may wait while no target serves it.
-const WAIT_SHARE: f64 = 0.22;
+/// The share of its goal for which a request may wait while no target serves
+/// it.
+const NO_TARGET_WAIT_SHARE: f64 = 0.22;
 
-/// From the first target that serves until half of them do, in milliseconds,
-/// after a fleet was empty. Measured: 0.4 to 0.8 s.
-const SPREAD_MS: u64 = 500;
+/// The time from the first target that serves until half of them do, in
+/// milliseconds, after a fleet was empty. It is 0.4 to 0.8 s.
+const FLEET_RECOVERY_MS: u64 = 500;
 
-/// When a target serves again if nothing is known of any, in milliseconds:
-/// an empty fleet is filled in about 4 s, half of it on the average.
-const UNKNOWN_READY_MS: u64 = 2_000;
+/// The assumed time until a target serves again if nothing is known, in
+/// milliseconds. An empty fleet is filled in about 4 s, on average half of it.
+const ASSUMED_READY_MS: u64 = 2_000;
 
-/// Callers leave a stream that shows nothing for the longest of this time,
-/// four goals and eight pauses, as the platform's users tell.
+/// Callers leave a stream that is silent for the longest of this time, four
+/// goals and eight pause goals, as the platform documents it. In milliseconds.
 const SILENT_STREAM_MS: u64 = 2_000;
 
 impl Default for Queue {
@@ -96,34 +99,38 @@
         Queue {
             in_time: BTreeSet::new(),
             late: BTreeSet::new(),
-            late_sent: Fading::new(HALF_LIFE_MS),
-            first_event_ms: Fading::new(HALF_LIFE_MS),
+            late_sent: DecayingSum::new(QUEUE_HALF_LIFE_MS),
+            first_event_ms: DecayingSum::new(QUEUE_HALF_LIFE_MS),
         }
     }
 }
 
 impl Queue {
-    fn turns_mut(&mut self, place: Place) -> Option<&mut BTreeSet<Turn>> {
-        match place {
-            Place::Nowhere => None,
-            Place::InTime => Some(&mut self.in_time),
-            Place::Late => Some(&mut self.late),
+    fn keys_mut(
+        &mut self,
+        queue_kind: QueueKind,
+    ) -> Option<&mut BTreeSet<QueueKey>> {
+        match queue_kind {
+            QueueKind::NotQueued => None,
+            QueueKind::InTime => Some(&mut self.in_time),
+            QueueKind::Late => Some(&mut self.late),
         }
     }
 
-    /// Those that wait and are to be sent before a request that can be in
-    /// time and has to be sent by `turn`.
-    fn before(&self, turn: Turn) -> u32 {
-        self.in_time.range(..turn).count() as u32
+    /// Returns how many waiting requests precede one that can meet its goal
+    /// and has this key.
+    fn count_before(&self, queue_key: QueueKey) -> u32 {
+        self.in_time.range(..queue_key).count() as u32
     }
 
     fn first_event_ms(&self, now_ms: u64) -> u64 {
         let seen = &self.first_event_ms;
-        seen.mean(now_ms, FIRST_EVENT_MS, FIRST_EVENT_GUESSES) as u64
+        seen.mean(now_ms, ASSUMED_FIRST_EVENT_MS, FIRST_EVENT_PRIOR_WEIGHT)
+            as u64
     }
 
-    /// Milliseconds until the late ones that wait have all been sent; `None`
-    /// if none is being sent.
+    /// Returns the milliseconds until all waiting late requests have been
+    /// sent; `None` if none is being sent.
     fn late_ms(&self, now_ms: u64) -> Option<u64> {
         let rate_per_s = self.late_sent.rate_per_s(now_ms);
         match self.late.len() {
@@ -136,49 +143,52 @@
     }
 }
 
-impl WaitingRoom {
-    /// Nobody waits.
-    pub fn new() -> WaitingRoom {
-        WaitingRoom::default()
+impl WaitQueues {
+    /// Creates empty queues.
+    pub fn new() -> WaitQueues {
+        WaitQueues::default()
     }
 
-    /// Puts a request into one place of its service's queue. One that some
-    /// target has had already has fewer to go to: it waits beside the queue.
-    pub fn enter(&mut self, request: &mut Admission, place: Place) {
-        if request.place == place {
+    /// Adds a request to a queue of its service. A request that a target has
+    /// had before has fewer targets to go to: it waits outside the queues.
+    pub fn enter(&mut self, request: &mut Admission, queue_kind: QueueKind) {
+        if request.queue_kind == queue_kind {
             return;
         }
         self.leave(request);
-        request.place = place;
+        request.queue_kind = queue_kind;
         if !request.tried.is_empty() {
             return;
         }
-        if request.turn.is_none() {
-            self.entered += 1;
+        if request.queue_key.is_none() {
+            self.sequence += 1;
         }
-        let number = request.turn.map_or(self.entered, |(_, number)| number);
-        let turn = match place {
-            Place::InTime => (goal_at_ms(request), number),
-            Place::Nowhere | Place::Late => (request.arrived_ms, number),
+        let number =
+            request.queue_key.map_or(self.sequence, |(_, number)| number);
+        let queue_key = match queue_kind {
+            QueueKind::InTime => (goal_at_ms(request), number),
+            QueueKind::NotQueued | QueueKind::Late => {
+                (request.arrived_ms, number)
+            }
         };
         let queue = self.queues.entry(request.service.name.clone());
-        if let Some(turns) = queue.or_default().turns_mut(place) {
-            turns.insert(turn);
+        if let Some(keys) = queue.or_default().keys_mut(queue_kind) {
+            keys.insert(queue_key);
         }
-        request.turn = Some(turn);
+        request.queue_key = Some(queue_key);
     }
 
-    /// Takes a request out of the queue, if it was in.
+    /// Removes a request from its queue, if it is in one.
     pub fn leave(&mut self, request: &mut Admission) {
         let queue = self.queues.get_mut(&request.service.name);
-        let turns = queue.and_then(|queue| queue.turns_mut(request.place));
-        if let (Some(turns), Some(turn)) = (turns, request.turn) {
-            turns.remove(&turn);
+        let keys = queue.and_then(|queue| queue.keys_mut(request.queue_kind));
+        if let (Some(keys), Some(queue_key)) = (keys, request.queue_key) {
+            keys.remove(&queue_key);
         }
-        request.place = Place::Nowhere;
+        request.queue_kind = QueueKind::NotQueued;
     }
 
-    /// Whether no other request is to be sent first.
+    /// Returns whether no other request is to be sent before this one.
     pub fn is_next(&self, now_ms: u64, request: &Admission) -> bool {
         let Some(queue) = self.queues.get(&request.service.name) else {
             return true;
@@ -186,21 +196,22 @@
         if !request.tried.is_empty() {
             return true;
         }
-        let is_other = |turn: &&Turn| Some(**turn) != request.turn;
+        let is_other =
+            |queue_key: &&QueueKey| Some(**queue_key) != request.queue_key;
         let first = queue.in_time.iter().find(is_other);
         match self.is_late(now_ms, request) {
             false => first.is_none_or(|first| {
-                *first >= request.in_time_turn(goal_at_ms(request))
+                *first >= request.in_time_key(goal_at_ms(request))
             }),
             true => {
-                let own = (request.arrived_ms, request.number());
+                let own = (request.arrived_ms, request.queue_number());
                 first.is_none()
                     && queue.late.first().is_none_or(|first| *first >= own)
             }
         }
     }
 
-    /// Notes that a request was sent to a target.
+    /// Records that a request was sent to a target.
     pub fn note_sent(&mut self, now_ms: u64, request: &Admission) {
         if self.is_late(now_ms, request) {
             let name = request.service.name.clone();
@@ -209,7 +220,7 @@
         }
     }
 
-    /// Notes how long the first event of a request took from its sending.
+    /// Records the time from sending a request to its first event.
     pub fn note_first_event(
         &mut self,
         now_ms: u64,
@@ -220,17 +231,20 @@
         queue.first_event_ms.add(now_ms, took_ms as f64);
     }
 
-    /// What a first event of a service takes now, in milliseconds.
+    /// Returns the expected time to a first event of the request's service, in
+    /// milliseconds.
     fn first_event_ms(&self, now_ms: u64, request: &Admission) -> u64 {
         let queue = self.queues.get(&request.service.name);
-        queue.map_or(FIRST_EVENT_MS as u64, |q| q.first_event_ms(now_ms))
+        queue.map_or(ASSUMED_FIRST_EVENT_MS as u64, |q| {
+            q.first_event_ms(now_ms)
+        })
     }
 
-    /// Whether a request can no longer be in time, were it sent now. One that
-    /// is back was refused before; its goal counts from the first try. A
-    /// stream that goes on is in time if its next event is: judged by its
-    /// first one, it took only what others left over, and 119 of 180 that
-    /// were cut in change-overs paused for too long.
+    /// Returns whether a request would miss its goal if it were sent now. A
+    /// try after a refusal is late, since the goal counts from the first try.
+    /// A resumed stream is judged by its next event: when it was judged by its
+    /// first one, it got only what others left, and 119 of 180 streams that
+    /// were cut in swaps of weights paused for too long.
     pub fn is_late(&self, now_ms: u64, request: &Admission) -> bool {
         let first_event_ms = self.first_event_ms(now_ms, request);
         if let Some(last_ms) = request.last_event_ms {
@@ -238,33 +252,38 @@
             return next_ms > last_ms + request.route.gap_goal_ms;
         }
         let waited_ms = now_ms.saturating_sub(request.arrived_ms);
-        request.is_back
-            || request.place == Place::Late
+        request.is_retry
+            || request.queue_kind == QueueKind::Late
             || waited_ms + first_event_ms > request.route.goal_ms
     }
 
-    /// What becomes of a request that has waited for `waited_ms`.
-    pub fn judge(
+    /// Decides on a request that has waited for `waited_ms`.
+    pub fn decide(
         &self,
         now_ms: u64,
         request: &Admission,
         waited_ms: u64,
-        situation: Situation,
-    ) -> Verdict {
+        availability: TargetAvailability,
+    ) -> WaitDecision {
         let left_ms = leaves_at_ms(request).saturating_sub(now_ms);
-        if !situation.is_full {
-            let queue_ms = self.queue_ms(request, situation.rate_per_s);
-            return judge_empty(
-                request, waited_ms, left_ms, queue_ms, situation,
+        if !availability.is_full {
+            let queue_ms = self.queue_ms(request, availability.rate_per_s);
+            return decide_without_targets(
+                request,
+                waited_ms,
+                left_ms,
+                queue_ms,
+                availability,
             );
         }
-        if self.will_be_in_time(now_ms, request, situation) {
-            return Verdict::Wait(Place::InTime);
+        if self.will_meet_goal(now_ms, request, availability) {
+            return WaitDecision::Wait(QueueKind::InTime);
         }
-        self.judge_late(now_ms, request, left_ms, situation.blocked_ms)
+        self.decide_late(now_ms, request, left_ms, availability.blocked_ms)
     }
 
-    /// Milliseconds until those that wait here have all been taken.
+    /// Returns the milliseconds until the requests that wait now have been
+    /// taken.
     fn queue_ms(&self, request: &Admission, rate_per_s: f64) -> u64 {
         let queue = self.queues.get(&request.service.name);
         let waiting =
@@ -272,102 +291,105 @@
         time_ms(waiting as u32, rate_per_s)
     }
 
-    /// Whether a request will be in time behind those that can be as well.
-    fn will_be_in_time(
+    /// Returns whether a request will meet its goal behind those queued before
+    /// it.
+    fn will_meet_goal(
         &self,
         now_ms: u64,
         request: &Admission,
-        situation: Situation,
+        availability: TargetAvailability,
     ) -> bool {
         if self.is_late(now_ms, request) {
             return false;
         }
         let queue = self.queues.get(&request.service.name);
-        if request.last_event_ms.is_some() && situation.blocked_ms == 0 {
+        if request.last_event_ms.is_some() && availability.blocked_ms == 0 {
             return true;
         }
-        let turn = request.in_time_turn(goal_at_ms(request));
-        let ahead = queue.map_or(0, |queue| queue.before(turn));
-        let taken_ms = now_ms.saturating_sub(request.arrived_ms)
-            + situation.blocked_ms
-            + time_ms(ahead, situation.rate_per_s)
+        let queue_key = request.in_time_key(goal_at_ms(request));
+        let ahead = queue.map_or(0, |queue| queue.count_before(queue_key));
+        let expected_ms = now_ms.saturating_sub(request.arrived_ms)
+            + availability.blocked_ms
+            + time_ms(ahead, availability.rate_per_s)
             + self.first_event_ms(now_ms, request);
-        taken_ms <= request.route.goal_ms
+        expected_ms <= request.route.goal_ms
     }
 
-    /// While targets are full: one that cannot be in time waits, until its
-    /// caller leaves, if those before it are being served by then. One at a
-    /// time waits to see whether any is.
-    fn judge_late(
+    /// Decides on a late request while targets are full. It waits until its
+    /// caller leaves, if the late requests before it will be served by then.
+    /// If none is being served, one at a time waits to find out whether any
+    /// is.
+    fn decide_late(
         &self,
         now_ms: u64,
         request: &Admission,
         left_ms: u64,
         blocked_ms: u64,
-    ) -> Verdict {
+    ) -> WaitDecision {
         let first_event_ms = self.first_event_ms(now_ms, request);
         let queue = self.queues.get(&request.service.name);
-        let late_ms = match request.place {
-            Place::Late => Some(0),
-            Place::Nowhere | Place::InTime => {
+        let late_ms = match request.queue_kind {
+            QueueKind::Late => Some(0),
+            QueueKind::NotQueued | QueueKind::InTime => {
                 queue.map_or(Some(0), |queue| queue.late_ms(now_ms))
             }
         };
         let late_ms = late_ms.map(|ms| ms + blocked_ms);
         match late_ms {
             Some(ms) if ms + first_event_ms < left_ms => {
-                Verdict::Wait(Place::Late)
+                WaitDecision::Wait(QueueKind::Late)
             }
             _ => {
-                let back_ms = late_ms.unwrap_or(u64::MAX);
-                Verdict::GiveUp(capped(request, back_ms))
+                let retry_ms = late_ms.unwrap_or(u64::MAX);
+                WaitDecision::GiveUp(capped_retry_ms(request, retry_ms))
             }
         }
     }
 }
 
-/// When a request has to have its first event.
+/// Returns when the first event of a request is due.
 fn goal_at_ms(request: &Admission) -> u64 {
     request.arrived_ms + request.route.goal_ms
 }
 
-/// Milliseconds that `count` requests take.
+/// Returns the time in which `count` requests are taken, in milliseconds.
 fn time_ms(count: u32, rate_per_s: f64) -> u64 {
     (f64::from(count) * 1e3 / rate_per_s.max(1.0)) as u64
 }
 
-/// While no target serves: a first try is told early when one will; a try
-/// that is back waits if it will be taken before its caller leaves.
-fn judge_empty(
+/// Decides on a request while no target serves. A first try is refused early
+/// with the time at which one will; a later try waits if it will be taken
+/// before its caller leaves.
+fn decide_without_targets(
     request: &Admission,
     waited_ms: u64,
     left_ms: u64,
     queue_ms: u64,
-    situation: Situation,
-) -> Verdict {
-    let patience_ms = match situation.all_leave {
+    availability: TargetAvailability,
+) -> WaitDecision {
+    let max_wait_ms = match availability.all_leaving {
         true => 0,
-        false => (request.route.goal_ms as f64 * WAIT_SHARE) as u64,
+        false => (request.route.goal_ms as f64 * NO_TARGET_WAIT_SHARE) as u64,
     };
-    let is_waiting = request.place != Place::Nowhere;
-    let taken_ms = situation.ready_ms.map(|ms| {
+    let is_waiting = request.queue_kind != QueueKind::NotQueued;
+    let expected_ms = availability.ready_ms.map(|ms| {
         let queue_ms = if is_waiting { 0 } else { queue_ms };
-        ms + SPREAD_MS + queue_ms
+        ms + FLEET_RECOVERY_MS + queue_ms
     });
-    let will_serve = taken_ms.is_some_and(|ms| ms < left_ms);
-    if waited_ms < patience_ms || request.is_back && will_serve {
-        let place = match request.place {
-            Place::Nowhere if request.is_back => Place::Late,
-            Place::Nowhere => Place::InTime,
-            place => place,
+    let will_serve = expected_ms.is_some_and(|ms| ms < left_ms);
+    if waited_ms < max_wait_ms || request.is_retry && will_serve {
+        let queue_kind = match request.queue_kind {
+            QueueKind::NotQueued if request.is_retry => QueueKind::Late,
+            QueueKind::NotQueued => QueueKind::InTime,
+            queue_kind => queue_kind,
         };
-        return Verdict::Wait(place);
+        return WaitDecision::Wait(queue_kind);
     }
-    let ready_ms = situation.ready_ms.unwrap_or(UNKNOWN_READY_MS);
-    Verdict::GiveUp(capped(request, ready_ms))
+    let ready_ms = availability.ready_ms.unwrap_or(ASSUMED_READY_MS);
+    WaitDecision::GiveUp(capped_retry_ms(request, ready_ms))
 }
 
-/// When the caller leaves if it has got nothing.
+/// Returns when the caller leaves if it has received nothing.
 fn leaves_at_ms(request: &Admission) -> u64 {
     let route = &request.route;
     match route.kind {
@@ -381,10 +403,10 @@
     }
 }
 
-/// A time to come back that the caller will heed: a third of what it has
-/// left at most.
-fn capped(request: &Admission, ms: u64) -> u64 {
+/// Limits a retry time to one that the caller will heed: at most a third of
+/// its total time, and at least [`MIN_RETRY_AFTER_MS`].
+fn capped_retry_ms(request: &Admission, ms: u64) -> u64 {
     let total_ms = request.due_ms.saturating_sub(request.arrived_ms);
-    let most_ms = (total_ms / 3).max(RETRY_AFTER_LEAST_MS);
-    ms.clamp(RETRY_AFTER_LEAST_MS, most_ms)
+    let max_ms = (total_ms / 3).max(MIN_RETRY_AFTER_MS);
+    ms.clamp(MIN_RETRY_AFTER_MS, max_ms)
 }
--- a/crates/raildale-core/src/members/mod.rs
+++ b/crates/raildale-core/src/members/mod.rs
@@ -1,9 +1,10 @@
-//! The entry hosts, as one of them knows them.
+//! The entry hosts, as known to one of them.
 //!
-//! The store lists them; who is alive is told by their heartbeats, and in
-//! other data centres of a large fleet by digests.
+//! The store lists them. Heartbeats show which of them are alive; in a large
+//! fleet, digests do so for other data centres.
 //!
-//! * [`relays`]: who tells whom, and what passes between data centres.
+//! * [`relays`]: which entry hosts exchange heartbeats, and the digests
+//!   between data centres.
 
 pub mod relays;
 
@@ -15,129 +16,134 @@
     gateway::shares::Sender,
 };
 
-/// An entry host's entry in the store.
+/// The entry of an entry host in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberEntry {
     /// Its name.
     pub name: Name,
     /// Its address.
     pub ip: IpAddr,
-    /// The data centre that it stands in.
+    /// The data centre in which it runs.
     pub data_centre: Name,
 }
 
-/// What an entry host's heartbeat tells.
+/// The contents of an entry host's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Heartbeat {
-    /// Whether it takes no new callers.
+    /// Whether it is leaving and accepts no new callers.
     pub is_leaving: bool,
     /// Whether it is ready for callers.
     pub is_ready: bool,
-    /// What it knows of the store, by kind.
+    /// The extent of its knowledge of the store, indexed by the number of the
+    /// kind.
     pub extents: Vec<Extent>,
-    /// Whether the store answers it, as far as it knows.
+    /// Whether the store responds to it, as far as it knows.
     pub sees_store: bool,
-    /// Requests that come to it in a second, as of late.
+    /// The recent rate of requests that it receives, per second.
     pub demand_per_s: f64,
 }
 
-/// What is known of another entry host.
+/// The state of another entry host.
 #[derive(Debug)]
 struct Member {
     entry: MemberEntry,
-    /// When it became known.
+    /// When it became known. Set in the past for a host that recently left the
+    /// list.
     known_ms: u64,
-    /// Its last heartbeat.
-    heard: Option<Heard>,
-    /// Whether it was up when changes were last asked for.
-    is_told_up: bool,
+    /// Its last heartbeat; `None` if none has been received.
+    last_heartbeat: Option<ReceivedHeartbeat>,
+    /// Whether the last call of [`Members::take_changes`] saw it as up.
+    was_reported_up: bool,
 }
 
-/// A heartbeat that came.
+/// A received heartbeat.
 #[derive(Debug)]
-struct Heard {
+struct ReceivedHeartbeat {
     at_ms: u64,
     heartbeat: Heartbeat,
 }
 
-/// The entry hosts.
+/// The entry hosts, as known to this one.
 #[derive(Debug)]
 pub struct Members {
     own: MemberEntry,
     others: BTreeMap<IpAddr, Member>,
-    /// Whether the store lists this one.
+    /// Whether the store lists this entry host.
     is_listed: bool,
-    /// When those left the list that did of late.
+    /// When entry hosts that recently left the list did so.
     delisted_ms: BTreeMap<IpAddr, u64>,
-    /// The ways to the relays of other data centres.
-    ways: relays::Ways,
-    /// Since when another has been ahead in a kind.
+    /// The round trips to the relays of other data centres.
+    round_trips: relays::RelayRoundTrips,
+    /// Since when another entry host has been ahead, by kind.
     behind_since_ms: BTreeMap<Kind, u64>,
 }
 
-/// Silence after which an entry host counts as gone, in milliseconds: three
-/// heartbeats and a bit.
+/// An entry host counts as gone after this many milliseconds without a
+/// heartbeat: slightly more than three heartbeat intervals.
 pub const SILENT_MS: u64 = 1_400;
 
-/// Entry hosts of a data centre that watch the store; the others hear of
-/// changes from them. One may die or lose its way to the store unnoticed for
-/// a moment: a second one covers that.
+/// The number of entry hosts of a data centre that watch the store; the others
+/// learn of changes from them. The second one covers for a watcher that has
+/// died or lost its connection to the store without this being detected yet.
 pub const WATCHERS: usize = 2;
 
-/// Entry hosts of a data centre that ever watch, in a large fleet: with the
-/// store away for 8 s all 149 tried it, 8,203 calls in a day. With one in three
-/// turned away by the store, all of six are in one of 700 cases; the others
-/// then hear from other data centres.
-pub const WATCHERS_TRIED: usize = 6;
+/// The number of entry hosts of a data centre that may become watchers in a
+/// large fleet. Without this limit, all 149 entry hosts tried a store that was
+/// unreachable for 8 s, 8,203 calls in one day. If the store rejects one in
+/// three, it rejects all six in one of 700 cases; the others then learn of
+/// changes from other data centres.
+pub const MAX_WATCHER_CANDIDATES: usize = 6;
 
-/// Silence after which another entry host is no longer relied on for
-/// watching the store, in milliseconds: two heartbeats and a bit. Less than
+/// Another entry host is not counted as a watcher after this many milliseconds
+/// without a heartbeat: slightly more than two heartbeat intervals. Less than
 /// [`SILENT_MS`], since changes must be in force within two seconds.
-const WATCHER_SILENT_MS: u64 = 900;
+const WATCHER_TIMEOUT_MS: u64 = 900;
 
-/// How long one that is listed and not heard yet counts as alive, in
-/// milliseconds: a little longer than the silence that is allowed.
-const GREETING_MS: u64 = 1_500;
+/// A listed entry host without a heartbeat counts as alive for this many
+/// milliseconds: slightly longer than the allowed silence.
+const FIRST_HEARTBEAT_TIMEOUT_MS: u64 = 1_500;
 
-/// How long it is remembered that one has left the list, in milliseconds: a
-/// copy from which the store is restored is some seconds old.
-const DELISTED_KEPT_MS: u64 = 60_000;
+/// How long a departure from the list is remembered, in milliseconds. A copy
+/// from which the store is restored is a few seconds old.
+const DELISTED_RETENTION_MS: u64 = 60_000;
 
-/// How long another may be ahead before it is asked, in milliseconds: the
-/// own watch of the store usually brings the same change by then.
-const AHEAD_MS: u64 = 250;
+/// How long another entry host may be ahead before it is asked, in
+/// milliseconds. This host's own watch of the store usually delivers the same
+/// change by then.
+const AHEAD_DELAY_MS: u64 = 250;
 
 /// How long only entry hosts of other data centres may be ahead in a large
-/// fleet before one that watches the store asks them, in milliseconds: its
-/// own watch is late by less than that unless its way to the store is cut.
-const FAR_AHEAD_MS: u64 = 500;
+/// fleet before a watcher asks them, in milliseconds. The watcher's own watch
+/// is delayed by less than that unless its connection to the store is cut.
+const REMOTE_AHEAD_DELAY_MS: u64 = 500;
 
-/// The same for one that does not watch, in milliseconds: the watchers next
-/// door have asked by then, so that the answer crosses once or twice.
-const FAR_AHEAD_OTHERS_MS: u64 = 1_300;
+/// The same for an entry host that is not a watcher, in milliseconds. The
+/// watchers of its data centre have asked by then, so the answer crosses
+/// between data centres only once or twice.
+const NON_WATCHER_AHEAD_DELAY_MS: u64 = 1_300;
 
 impl Members {
-    /// An entry host that knows of no other.
+    /// Creates the state of an entry host that knows no others.
     pub fn new(own: MemberEntry) -> Members {
         Members {
             own,
             others: BTreeMap::new(),
             is_listed: false,
             delisted_ms: BTreeMap::new(),
-            ways: relays::Ways::default(),
+            round_trips: relays::RelayRoundTrips::default(),
             behind_since_ms: BTreeMap::new(),
         }
     }
 
-    /// The own entry.
+    /// Returns the own entry.
     pub fn own(&self) -> &MemberEntry {
         &self.own
     }
 
-    /// Takes over the store's list. One that is no longer listed stays while
-    /// it is heard.
+    /// Replaces the store's list. An entry host that is no longer listed is
+    /// kept while its heartbeats arrive.
     pub fn set_listed(&mut self, now_ms: u64, listed: Vec<MemberEntry>) {
-        self.delisted_ms.retain(|_, ms| now_ms < *ms + DELISTED_KEPT_MS);
+        self.delisted_ms.retain(|_, ms| now_ms < *ms + DELISTED_RETENTION_MS);
         self.others.retain(|ip, member| {
             if listed.iter().any(|entry| entry.ip == *ip) {
                 return true;
@@ -151,32 +157,32 @@
         }
     }
 
-    /// Whether the store lists this one, as far as it knows.
+    /// Returns whether the store lists this entry host, as far as it knows.
     pub fn is_listed(&self) -> bool {
         self.is_listed
     }
 
-    /// Adds one that may be there.
+    /// Adds an entry host or updates its entry.
     fn add(&mut self, now_ms: u64, entry: MemberEntry) {
         if entry.ip == self.own.ip {
             return;
         }
-        // A store that was restored from an older copy may list one again that
-        // has ended: it only counts as alive once it is heard.
+        // A store that was restored from an older copy may list an entry host
+        // again that has ended: it counts as alive only after a heartbeat.
         let was_delisted = self.delisted_ms.contains_key(&entry.ip);
-        let greeted_ms = if was_delisted { GREETING_MS } else { 0 };
+        let age_ms = if was_delisted { FIRST_HEARTBEAT_TIMEOUT_MS } else { 0 };
         let known = self.others.entry(entry.ip).or_insert_with(|| Member {
             entry: entry.clone(),
-            known_ms: now_ms.saturating_sub(greeted_ms),
-            heard: None,
-            is_told_up: false,
+            known_ms: now_ms.saturating_sub(age_ms),
+            last_heartbeat: None,
+            was_reported_up: false,
         });
         known.entry = entry;
     }
 
-    /// Takes a heartbeat in. Says whether it came from one that was not
-    /// heard just before, and so may know nothing yet.
-    pub fn heard(
+    /// Records a heartbeat. Returns whether its sender had not been heard
+    /// shortly before, and so may not know anything yet.
+    pub fn on_heartbeat(
         &mut self,
         now_ms: u64,
         entry: MemberEntry,
@@ -186,21 +192,22 @@
         self.add(now_ms, entry);
         let Some(member) = self.others.get_mut(&ip) else { return false };
         let is_new = !is_heard(member, now_ms);
-        member.heard = Some(Heard { at_ms: now_ms, heartbeat });
+        member.last_heartbeat =
+            Some(ReceivedHeartbeat { at_ms: now_ms, heartbeat });
         is_new
     }
 
-    /// Addresses of all others, alive or not.
+    /// Returns the addresses of all others, alive or not.
     pub fn others(&self) -> impl Iterator<Item = IpAddr> + '_ {
         self.others.keys().copied()
     }
 
-    /// Others in the list that have been silent for longer than `ms`.
+    /// Returns the others that have been silent for longer than `ms`.
     pub fn silent_for(&self, now_ms: u64, ms: u64) -> Vec<MemberEntry> {
         self.others
             .values()
             .filter(|member| {
-                let heard = member.heard.as_ref();
+                let heard = member.last_heartbeat.as_ref();
                 let last_ms = heard.map_or(member.known_ms, |h| h.at_ms);
                 now_ms.saturating_sub(last_ms) > ms
             })
@@ -208,21 +215,22 @@
             .collect()
     }
 
-    /// Others that came up (true) or went silent since this was last asked.
-    pub fn changes(&mut self, now_ms: u64) -> Vec<(IpAddr, bool)> {
+    /// Returns the others that came up (`true`) or went silent (`false`) since
+    /// the last call.
+    pub fn take_changes(&mut self, now_ms: u64) -> Vec<(IpAddr, bool)> {
         self.others
             .iter_mut()
             .filter_map(|(ip, member)| {
                 let is_up = is_heard(member, now_ms);
-                let is_news = is_up != member.is_told_up;
-                member.is_told_up = is_up;
-                is_news.then_some((*ip, is_up))
+                let is_changed = is_up != member.was_reported_up;
+                member.was_reported_up = is_up;
+                is_changed.then_some((*ip, is_up))
             })
             .collect()
     }
 
-    /// Entry hosts that are alive, by address, with what each needs targets
-    /// for, and the place of this one, which needs `own_demand_per_s`.
+    /// Returns the live entry hosts by address, with the demand of each, and
+    /// the index of this one, whose demand is `own_demand_per_s`.
     pub fn senders(
         &self,
         now_ms: u64,
@@ -236,50 +244,54 @@
         let (before, after): (Vec<_>, Vec<_>) =
             alive.partition(|(ip, _)| **ip < self.own.ip);
         let other = |(_, member): &(&IpAddr, &Member)| {
-            let heard = member.heard.as_ref();
+            let heard = member.last_heartbeat.as_ref();
             let demand = heard.map_or(0.0, |h| h.heartbeat.demand_per_s);
             sender(&member.entry, demand)
         };
         let own = sender(&self.own, own_demand_per_s);
-        let place = before.len();
+        let index = before.len();
         let senders = before
             .iter()
             .map(other)
             .chain([own])
             .chain(after.iter().map(other))
             .collect();
-        (senders, place)
+        (senders, index)
     }
 
-    /// Whether no entry host that is alive stands nearer to a data centre
-    /// than this one does: in it, or as far away while it has none.
+    /// Returns whether no live entry host is nearer to a data centre than this
+    /// one. An entry host in the data centre is nearest; if it has none, all
+    /// are equally near.
     pub fn is_nearest(&self, now_ms: u64, data_centre: &str) -> bool {
-        let stands_there =
+        let is_in_centre =
             |entry: &MemberEntry| *entry.data_centre == *data_centre;
         let others = self.others.values();
         let mut alive = others.filter(|member| is_alive(member, now_ms));
-        stands_there(&self.own) || !alive.any(|m| stands_there(&m.entry))
+        is_in_centre(&self.own) || !alive.any(|m| is_in_centre(&m.entry))
     }
 
-    /// Whether this entry host is to watch the store: it is among the first
-    /// [`WATCHERS`] of its data centre, by address, that are heard and see
-    /// the store and, in a large fleet, among the first [`WATCHERS_TRIED`]
-    /// that are heard.
+    /// Returns whether this entry host should watch the store: it must be
+    /// among the first [`WATCHERS`] of its data centre, by address, that are
+    /// heard and see the store and, in a large fleet, among the first
+    /// [`MAX_WATCHER_CANDIDATES`] that are heard.
     pub fn is_watcher(&self, now_ms: u64) -> bool {
         let before = self.others.range(..self.own.ip).filter_map(|(_, m)| {
-            let beat = heartbeat_within(m, now_ms, WATCHER_SILENT_MS)?;
+            let beat = heartbeat_within(m, now_ms, WATCHER_TIMEOUT_MS)?;
             let is_here = m.entry.data_centre == self.own.data_centre;
             (is_here && !beat.is_leaving).then_some(beat.sees_store)
         });
         let before: Vec<bool> = before.collect();
-        let seeing = before.iter().filter(|sees_store| **sees_store).count();
-        let is_tried = !self.is_large() || before.len() < WATCHERS_TRIED;
-        seeing < WATCHERS && is_tried
+        let seeing_count =
+            before.iter().filter(|sees_store| **sees_store).count();
+        let is_candidate =
+            !self.is_large() || before.len() < MAX_WATCHER_CANDIDATES;
+        seeing_count < WATCHERS && is_candidate
     }
 
-    /// The addresses for callers in a data centre: those there, and as many
-    /// of others that each data centre's callers share about the same number
-    /// of entry hosts. `draw` rotates the others, so that they share evenly.
+    /// Returns the addresses for callers in a data centre: the entry hosts
+    /// there, and so many others that the callers of each data centre share
+    /// about the same number of entry hosts. `draw` rotates the others to
+    /// distribute the load evenly.
     pub fn addresses_for(
         &self,
         now_ms: u64,
@@ -288,19 +300,20 @@
         draw: usize,
     ) -> Vec<IpAddr> {
         let open = self.open_entries(now_ms, is_own_open);
-        let fair = fair_count(&open);
-        let (here, elsewhere): (Vec<_>, Vec<_>) =
+        let fair_share = fair_share(&open);
+        let (local, remote): (Vec<_>, Vec<_>) =
             open.into_iter().partition(|e| &*e.data_centre == data_centre);
-        let missing = fair.saturating_sub(here.len());
-        let helpers = helpers(elsewhere, missing, draw);
-        here.into_iter()
+        let missing = fair_share.saturating_sub(local.len());
+        let helpers = helpers(remote, missing, draw);
+        local
+            .into_iter()
             .chain(helpers.into_iter().take(missing))
             .map(|entry| entry.ip)
             .collect()
     }
 
-    /// Entry hosts that take callers, by address. This one is among them if
-    /// it is open, or if no other is.
+    /// Returns the entry hosts that accept callers, by address. This one is
+    /// included if it is open, or if no other is.
     fn open_entries(
         &self,
         now_ms: u64,
@@ -319,11 +332,12 @@
         open
     }
 
-    /// A live entry host that is ahead of this one in a kind, and is to be
-    /// asked for it: one next door if there is any, by `draw`, so that not
-    /// all ask the same. One that watches the store itself waits a while
-    /// first, unless it knows nothing of the kind yet.
-    pub fn ahead(
+    /// Returns a live entry host that is ahead of this one in a kind and
+    /// should be asked for it; `None` if there is none, or the waiting time
+    /// has not passed yet. Entry hosts of the own data centre are preferred.
+    /// `draw` selects among several, so that not all ask the same one. A
+    /// watcher waits first, unless it knows nothing of the kind yet.
+    pub fn find_ahead(
         &mut self,
         now_ms: u64,
         kind: Kind,
@@ -332,32 +346,32 @@
     ) -> Option<IpAddr> {
         let knows_some = own.changed > Stamp::default();
         let ahead = self.nearest_ahead(now_ms, kind, own);
-        let Some(place) = draw.checked_rem(ahead.len()) else {
+        let Some(index) = draw.checked_rem(ahead.len()) else {
             self.behind_since_ms.remove(&kind);
             return None;
         };
-        let ip = ahead[place];
-        let is_near = self.reaches(ip);
-        let patience_ms = match (self.is_watcher(now_ms), is_near) {
-            (true, true) if knows_some => AHEAD_MS,
-            (true, false) if knows_some => FAR_AHEAD_MS,
+        let ip = ahead[index];
+        let is_neighbour = self.reaches_member(ip);
+        let delay_ms = match (self.is_watcher(now_ms), is_neighbour) {
+            (true, true) if knows_some => AHEAD_DELAY_MS,
+            (true, false) if knows_some => REMOTE_AHEAD_DELAY_MS,
             (true, _) | (false, true) => 0,
-            (false, false) => FAR_AHEAD_OTHERS_MS,
+            (false, false) => NON_WATCHER_AHEAD_DELAY_MS,
         };
         let since_ms = *self.behind_since_ms.entry(kind).or_insert(now_ms);
-        let is_due = now_ms.saturating_sub(since_ms) >= patience_ms;
+        let is_due = now_ms.saturating_sub(since_ms) >= delay_ms;
         is_due.then_some(ip)
     }
 
-    /// Live entry hosts that are ahead of `own` in a kind: those of the own
-    /// data centre, or all if there is none.
+    /// Returns the live entry hosts that are ahead of `own` in a kind: those
+    /// of the own data centre, or all if there are none.
     fn nearest_ahead(
         &self,
         now_ms: u64,
         kind: Kind,
         own: Extent,
     ) -> Vec<IpAddr> {
-        let (here, elsewhere): (Vec<&Member>, Vec<&Member>) = self
+        let (local, remote): (Vec<&Member>, Vec<&Member>) = self
             .others
             .values()
             .filter(|member| is_heard(member, now_ms))
@@ -366,13 +380,14 @@
                 known.is_some_and(|known| known.adds_to(&own))
             })
             .partition(|m| m.entry.data_centre == self.own.data_centre);
-        let nearest = if here.is_empty() { elsewhere } else { here };
+        let nearest = if local.is_empty() { remote } else { local };
         nearest.into_iter().map(|member| member.entry.ip).collect()
     }
 }
 
-/// Entry hosts for each data centre's callers, if all were shared evenly.
-fn fair_count(open: &[&MemberEntry]) -> usize {
+/// Returns the number of entry hosts for each data centre's callers if all
+/// were shared evenly.
+fn fair_share(open: &[&MemberEntry]) -> usize {
     let mut centres: Vec<&str> =
         open.iter().map(|entry| &*entry.data_centre).collect();
     centres.sort_unstable();
@@ -380,63 +395,70 @@
     open.len().div_ceil(centres.len().max(1))
 }
 
-/// Those that may help elsewhere, in turn from place `draw` on: the entry
-/// hosts of the data centres with the most, if these are `missing` at least.
+/// Returns the entry hosts that may serve callers of another data centre,
+/// rotated by `draw`: those of the data centres with the most entry hosts, if
+/// there are at least `missing` of them, or else all.
 fn helpers(
-    elsewhere: Vec<&MemberEntry>,
+    remote: Vec<&MemberEntry>,
     missing: usize,
     draw: usize,
 ) -> Vec<&MemberEntry> {
-    let crowd = |entry: &MemberEntry| {
+    let host_count = |entry: &MemberEntry| {
         let centre = &entry.data_centre;
-        elsewhere.iter().filter(|e| e.data_centre == *centre).count()
+        remote.iter().filter(|e| e.data_centre == *centre).count()
     };
-    let most = elsewhere.iter().map(|e| crowd(e)).max().unwrap_or(0);
-    let crowded: Vec<&MemberEntry> =
-        elsewhere.iter().copied().filter(|e| crowd(e) == most).collect();
-    let is_enough = crowded.len() >= missing;
-    let mut helpers = if is_enough { crowded } else { elsewhere };
+    let max_count = remote.iter().map(|e| host_count(e)).max().unwrap_or(0);
+    let largest: Vec<&MemberEntry> = remote
+        .iter()
+        .copied()
+        .filter(|e| host_count(e) == max_count)
+        .collect();
+    let is_enough = largest.len() >= missing;
+    let mut helpers = if is_enough { largest } else { remote };
     if !helpers.is_empty() {
-        let turn = draw % helpers.len();
-        helpers.rotate_left(turn);
+        let offset = draw % helpers.len();
+        helpers.rotate_left(offset);
     }
     helpers
 }
 
-/// What a member knows of a kind, as its last heartbeat told.
+/// Returns the extent of a member's knowledge of a kind, from its last
+/// heartbeat.
 fn extent(member: &Member, kind: Kind) -> Option<Extent> {
-    let heard = member.heard.as_ref()?;
-    let place = kind.number() as usize;
-    heard.heartbeat.extents.get(place).copied()
+    let heard = member.last_heartbeat.as_ref()?;
+    let index = kind.number() as usize;
+    heard.heartbeat.extents.get(index).copied()
 }
 
 fn is_heard(member: &Member, now_ms: u64) -> bool {
     heartbeat_within(member, now_ms, SILENT_MS).is_some()
 }
 
-/// The last heartbeat, if it is younger than `ms`.
+/// Returns the last heartbeat, if it is less than `ms` old.
 fn heartbeat_within(
     member: &Member,
     now_ms: u64,
     ms: u64,
 ) -> Option<&Heartbeat> {
-    let heard = member.heard.as_ref()?;
-    let is_young = now_ms.saturating_sub(heard.at_ms) < ms;
-    is_young.then_some(&heard.heartbeat)
+    let heard = member.last_heartbeat.as_ref()?;
+    let is_recent = now_ms.saturating_sub(heard.at_ms) < ms;
+    is_recent.then_some(&heard.heartbeat)
 }
 
 fn is_alive(member: &Member, now_ms: u64) -> bool {
-    match member.heard {
+    match member.last_heartbeat {
         Some(_) => is_heard(member, now_ms),
-        None => now_ms.saturating_sub(member.known_ms) < GREETING_MS,
+        None => {
+            now_ms.saturating_sub(member.known_ms) < FIRST_HEARTBEAT_TIMEOUT_MS
+        }
     }
 }
 
 fn is_open(member: &Member, now_ms: u64) -> bool {
-    let is_welcoming = member
-        .heard
+    let accepts_callers = member
+        .last_heartbeat
         .as_ref()
         .map(|heard| &heard.heartbeat)
         .is_none_or(|beat| beat.is_ready && !beat.is_leaving);
-    is_alive(member, now_ms) && is_welcoming
+    is_alive(member, now_ms) && accepts_callers
 }
