--- a/crates/raildale-testkit/src/engine.rs
+++ b/crates/raildale-testkit/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine: batching, prefix cache, priorities, streaming, fenced
-//! orders, and a kind that checks no fence.
+//! A simulated model engine with a limit on concurrent runs, a prefix cache,
+//! streaming and activation orders that may be fenced.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,30 +20,31 @@
 
 use crate::{
     http_server::{self, Body, answer},
-    truth::{Truth, lock, mark, token},
+    truth::{GroundTruth, lock, request_id, token},
 };
 
-/// How an engine works.
+/// The configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// The host's name.
+    /// The name of its host.
     pub host: String,
-    /// Runs at once; more wait, urgent ones first.
+    /// The batch size. Up to twice as many runs are accepted at the same time.
     pub batch: usize,
-    /// Time to take in a prompt whose prefix is not cached.
+    /// The time to read a prompt whose prefix is not cached; a quarter of it
+    /// if the prefix is cached.
     pub prefill: Duration,
-    /// Time for each token when alone.
+    /// The time per token of a run alone in the batch.
     pub token: Duration,
-    /// Time that each further run in the batch adds to a token.
+    /// The time that each further run adds to each token.
     pub token_per_run: Duration,
-    /// Prefixes that the cache holds.
+    /// The maximum number of prefixes in the cache.
     pub cached_prefixes: usize,
-    /// Whether an order with a lower fence is refused.
+    /// Whether an order with a lower fence than a previous one is refused.
     pub checks_fences: bool,
 }
 
 impl EngineConfig {
-    /// A small engine.
+    /// Returns the configuration of a small engine on `host`.
     pub fn new(host: &str) -> EngineConfig {
         EngineConfig {
             host: host.to_string(),
@@ -59,32 +60,35 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// The digests of the staged chunks, by manifest.
     slots: HashMap<Digest, Vec<Option<Digest>>>,
+    /// The served manifest, by model.
     active: HashMap<String, Digest>,
+    /// The highest fence seen, by model: revision and incarnation.
     fences: HashMap<String, (u64, u64)>,
     running: usize,
     prefixes: VecDeque<String>,
-    freed: Option<Instant>,
+    last_run_ended: Option<Instant>,
 }
 
-/// The stand-in.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
     config: EngineConfig,
-    truth: Arc<Truth>,
+    truth: Arc<GroundTruth>,
     state: Mutex<State>,
 }
 
 impl Engine {
-    /// Starts it at `address`.
+    /// Starts an engine that listens on `address`.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// Returns an error if `address` cannot be bound.
     pub async fn start(
         address: SocketAddr,
         config: EngineConfig,
-        truth: Arc<Truth>,
+        truth: Arc<GroundTruth>,
     ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind(address).await?;
         let state = Mutex::default();
@@ -96,17 +100,17 @@
         Ok(engine)
     }
 
-    /// Runs in progress.
+    /// Returns the number of runs in progress.
     pub fn running(&self) -> usize {
         lock(&self.state).running
     }
 
-    /// When a run last ended or was cancelled.
-    pub fn freed(&self) -> Option<Instant> {
-        lock(&self.state).freed
+    /// Returns when a run last ended or was cancelled; `None` if none has.
+    pub fn last_run_ended(&self) -> Option<Instant> {
+        lock(&self.state).last_run_ended
     }
 
-    /// What it serves for `model`.
+    /// Returns the manifest that it serves for `model`.
     pub fn active(&self, model: &str) -> Option<Digest> {
         lock(&self.state).active.get(model).copied()
     }
@@ -133,6 +137,7 @@
         }
     }
 
+    /// Stores the digest of a chunk in the slot of its manifest.
     fn stage(
         &self,
         manifest: &str,
@@ -153,8 +158,9 @@
         answer(StatusCode::OK, "")
     }
 
-    /// Obeys whatever it is told, as engines do: it does not look whether
-    /// the slot is whole. Only the fence is checked, and only by one kind.
+    /// Activates a version. Like a real engine, it does not check whether the
+    /// slot is complete. The fence is checked only if the configuration says
+    /// so.
     fn activate(&self, model: &str, body: &[u8]) -> Response<Body> {
         let Ok(order) = serde_json::from_slice::<ActivateOrder>(body) else {
             return answer(StatusCode::BAD_REQUEST, "");
@@ -171,7 +177,7 @@
         state.fences.insert(model.to_string(), fence.max(highest));
         state.active.insert(model.to_string(), manifest);
         drop(state);
-        self.truth.activated(&self.config.host, manifest);
+        self.truth.record_activation(&self.config.host, manifest);
         answer(StatusCode::OK, "")
     }
 
@@ -204,12 +210,12 @@
             }
             let slot = state.slots.get(&manifest).map_or(&[][..], |s| s);
             if !self.truth.is_whole(manifest, slot) {
-                self.truth.served_partial();
+                self.truth.record_partial_answer();
             }
             state.running += 1;
             self.prefill(&mut state, &request)
         };
-        self.truth.ran(mark(&request.prompt));
+        self.truth.record_run(request_id(&request.prompt));
         let (tx, rx) = mpsc::channel(4);
         let run = Run { engine: self.clone() };
         tokio::spawn(run.stream(request, prefill, tx));
@@ -220,6 +226,7 @@
         Response::new(StreamBody::new(frames).boxed_unsync())
     }
 
+    /// Returns the time to read the prompt, and adds its prefix to the cache.
     fn prefill(&self, state: &mut State, request: &Generate) -> Duration {
         let start: String = request.prompt.chars().take(64).collect();
         let prefix = format!("{}\0{start}", request.cache_salt);
@@ -233,13 +240,15 @@
         self.config.prefill
     }
 
+    /// Returns the time per token with the current number of runs.
     fn token_time(&self) -> Duration {
         let others = self.running().saturating_sub(1) as u32;
         self.config.token + self.config.token_per_run * others
     }
 }
 
-/// A run; dropped at its end, also when its reader goes away.
+/// A run in progress. Dropping it counts the run as ended, also if its reader
+/// disconnects.
 struct Run {
     engine: Arc<Engine>,
 }
@@ -270,13 +279,14 @@
     fn drop(&mut self) {
         let mut state = lock(&self.engine.state);
         state.running -= 1;
-        state.freed = Some(Instant::now());
+        state.last_run_ended = Some(Instant::now());
     }
 }
 
+/// Returns a refusal that states that the request was not started.
 fn not_started(status: StatusCode) -> Response<Body> {
     let mut response = answer(status, "");
-    let yes = "1".parse().expect("it is a header's value");
-    response.headers_mut().insert("x-not-started", yes);
+    let value = "1".parse().expect("a valid header value");
+    response.headers_mut().insert("x-not-started", value);
     response
 }
--- a/crates/raildale/src/entry_daemon.rs
+++ b/crates/raildale/src/entry_daemon.rs
@@ -1,6 +1,7 @@
-//! `raildale-entry`: the shell round the entry host's reducer.
+//! `raildale-entry`: the I/O shell around the entry host's reducer.
 //!
-//! It turns effects into I/O and I/O into events, and decides nothing.
+//! Turns effects into I/O and I/O into events. All decisions are made by the
+//! reducer.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,61 +25,62 @@
     error::Error,
     http_api::{self, Api},
     http_client::HttpClient,
-    http_server::Ending,
+    http_server::Shutdown,
     link::{self, LinkEvent, LinkHandle, Links, Side},
     logs,
     metrics::Metrics,
     origin::Origin,
     platform::Platform,
     settings_text,
-    settings_watch::{self, Reading},
-    signals::{Signals, Told},
+    settings_watch::{self, WatchEvent},
+    signals::{SignalEvent, Signals},
     status::Status,
 };
 
-/// How often the reducer hears that time passed.
+/// Interval between the reducer's tick events.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Silence after which an accepted connection counts as dead; agents and
-/// entry hosts speak twice a second.
-const SILENCE: Duration = Duration::from_millis(2_500);
+/// Time without a message after which an accepted connection is closed.
+/// Agents and entry hosts send two messages a second.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long the last answers may take to be written: more than the pause of
-/// any caller that still wants its answer.
-const LAST_ANSWERS: Duration = Duration::from_secs(15);
+/// How long the last answers may take to be written during shutdown. Longer
+/// than any pause of a caller that still wants its answer.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What callers' and operators' handlers ask of the shell.
+/// A message from the HTTP handlers to the shell.
 #[derive(Debug)]
 pub enum Input {
-    /// An event whose answer goes to `reply`.
+    /// An event with a response.
     Call {
-        /// The request's number.
+        /// The request's number, unique in the process.
         request: u64,
-        /// What happened.
+        /// The event for the reducer.
         event: Event,
-        /// Where the answer goes.
+        /// Receives the parts of the response.
         reply: mpsc::UnboundedSender<Reply>,
     },
-    /// An event without an answer.
-    Tell(Event),
-    /// What the process knows, for operators.
+    /// An event without a response.
+    Notify(Event),
+    /// A query for the status of the process.
     Status(oneshot::Sender<Box<Status>>),
 }
 
-/// A part of an answer.
+/// A part of the response to an [`Input::Call`].
 #[derive(Debug)]
 pub enum Reply {
     /// A piece of a streamed answer.
     Piece(Vec<u8>),
-    /// The last word.
-    Last(FinalResponse),
+    /// The final response; nothing follows it.
+    Final(FinalResponse),
 }
 
-/// Runs the entry host until it is told to leave and has nothing in progress.
+/// Runs the entry host until it has been told to leave and no request is in
+/// progress.
 ///
 /// # Errors
 ///
-/// If one of its addresses cannot be listened on.
+/// [`crate::ErrorKind::Io`] if one of its addresses cannot be bound.
 pub async fn run(file: EntryFile, signals: Signals) -> Result<(), Error> {
     let clock = Clock::new();
     let listener = TcpListener::bind(file.node.listen).await?;
@@ -98,14 +100,14 @@
     links_rx: mpsc::UnboundedReceiver<LinkEvent>,
     inputs_tx: mpsc::UnboundedSender<Input>,
     inputs_rx: mpsc::UnboundedReceiver<Input>,
-    readings_tx: mpsc::UnboundedSender<Reading>,
-    readings_rx: mpsc::UnboundedReceiver<Reading>,
+    watch_tx: mpsc::UnboundedSender<WatchEvent>,
+    watch_rx: mpsc::UnboundedReceiver<WatchEvent>,
     watching: watch::Sender<bool>,
     agents: HashMap<Name, LinkHandle>,
     entries: HashMap<Name, LinkHandle>,
-    /// Connections that other entry hosts dialled. Nothing is sent over them,
-    /// but a connection whose handle is dropped closes.
-    met: HashMap<Name, LinkHandle>,
+    /// Connections that other entry hosts dialled. Nothing is sent over them;
+    /// the handles are held because dropping one closes its connection.
+    accepted_entries: HashMap<Name, LinkHandle>,
     dialling: HashMap<SocketAddr, AbortHandle>,
     replies: HashMap<u64, mpsc::UnboundedSender<Reply>>,
     platform: Platform,
@@ -113,7 +115,7 @@
     metrics: Arc<Metrics>,
     signals: Signals,
     tick: Interval,
-    http_ending: Arc<Ending>,
+    http_shutdown: Arc<Shutdown>,
     is_done: bool,
 }
 
@@ -122,18 +124,18 @@
         let process: Arc<str> = file.node.name.as_str().into();
         let (links_tx, links_rx) = mpsc::unbounded_channel();
         let (inputs_tx, inputs_rx) = mpsc::unbounded_channel();
-        let (readings_tx, readings_rx) = mpsc::unbounded_channel();
+        let (watch_tx, watch_rx) = mpsc::unbounded_channel();
         let key = ClusterKey::new(&file.node.cluster_key);
         let links = Arc::new(Links {
             identity: identity(&file, clock),
             key: key.clone(),
             bind_ip: file.node.listen.ip(),
             pacer: None,
-            dialled_silence: None,
-            accepted_silence: Some(SILENCE),
+            dialled_idle_timeout: None,
+            accepted_idle_timeout: Some(IDLE_TIMEOUT),
             process: process.clone(),
             events: links_tx,
-            ending: watch::Sender::new(false),
+            shutdown: watch::Sender::new(false),
         });
         let http = HttpClient::new(Some(file.node.listen.ip()));
         let config = entry_config(&file, key, clock);
@@ -149,17 +151,17 @@
             links_rx,
             inputs_tx,
             inputs_rx,
-            readings_tx,
-            readings_rx,
+            watch_tx,
+            watch_rx,
             watching: watch::Sender::new(false),
             agents: HashMap::new(),
             entries: HashMap::new(),
-            met: HashMap::new(),
+            accepted_entries: HashMap::new(),
             dialling: HashMap::new(),
             replies: HashMap::new(),
             signals,
-            tick: ticking(),
-            http_ending: Arc::new(Ending::new()),
+            tick: tick_interval(),
+            http_shutdown: Arc::new(Shutdown::new()),
             is_done: false,
         }
     }
@@ -175,7 +177,7 @@
         settings_watch::start(
             self.platform.clone(),
             self.watching.subscribe(),
-            self.readings_tx.clone(),
+            self.watch_tx.clone(),
         );
         let api = Api::new(
             self.inputs_tx.clone(),
@@ -186,8 +188,8 @@
             self.file.node.spans,
             self.clock,
         );
-        let ending = self.http_ending.clone();
-        tokio::spawn(http_api::serve(http, api, ending));
+        let shutdown = self.http_shutdown.clone();
+        tokio::spawn(http_api::serve(http, api, shutdown));
         logs::event(&self.process, LogEvent::Started, "entry host");
     }
 
@@ -195,45 +197,48 @@
         while !self.is_done {
             self.step().await;
         }
-        self.end_connections().await;
-        self.end_links().await;
+        self.close_connections().await;
+        self.close_links().await;
         logs::event(&self.process, LogEvent::Stopped, "entry host");
     }
 
     async fn step(&mut self) {
         tokio::select! {
             _ = self.tick.tick() => {
-                self.observe();
+                self.update_gauges();
                 self.reduce(Event::Tick);
             }
             Some(input) = self.inputs_rx.recv() => self.on_input(input),
             Some(event) = self.links_rx.recv() => self.on_link(event),
-            Some(reading) = self.readings_rx.recv() => {
-                self.on_reading(reading);
+            Some(event) = self.watch_rx.recv() => {
+                self.on_watch_event(event);
             }
-            told = self.signals.next() => self.on_told(told),
+            signal = self.signals.next() => self.on_signal(signal),
         }
     }
 
-    fn on_told(&mut self, told: Told) {
-        match told {
-            Told::Stop => self.reduce(Event::Leave),
-            // What the file holds for a process only a start takes over.
-            Told::SettingsChanged => self
-                .log(LogEvent::Reloaded, "nothing to take over while running"),
+    fn on_signal(&mut self, signal: SignalEvent) {
+        match signal {
+            SignalEvent::Stop => self.reduce(Event::Leave),
+            // The settings file is only read at start.
+            SignalEvent::SettingsChanged => self.log(
+                LogEvent::Reloaded,
+                "the settings file is only read at start",
+            ),
         }
     }
 
-    /// Ends callers' connections, each once its answer is written; what they
-    /// still ask meanwhile is answered.
-    async fn end_connections(&mut self) {
-        let ending = self.http_ending.clone();
-        let mut ended = std::pin::pin!(ending.end(LAST_ANSWERS));
+    /// Closes callers' connections, each once its answer is written. Requests
+    /// that arrive meanwhile are still answered.
+    async fn close_connections(&mut self) {
+        let shutdown = self.http_shutdown.clone();
+        let mut ended =
+            std::pin::pin!(shutdown.shut_down(LAST_ANSWERS_TIMEOUT));
         loop {
             tokio::select! {
                 open = &mut ended => {
                     if open > 0 {
-                        log::warn!("{open} connections are still open");
+                        log::warn!("{open} HTTP connections are still open");
                     }
                     return;
                 }
@@ -242,16 +247,17 @@
         }
     }
 
-    /// Ends the connections to processes, each once what was sent is
-    /// written.
-    async fn end_links(&mut self) {
+    /// Closes the connections to agents and entry hosts, each once its queued
+    /// messages are written.
+    async fn close_links(&mut self) {
         self.agents.clear();
         self.entries.clear();
-        self.met.clear();
-        let ended = self.links.end(SILENCE);
-        let open = link::discarding(&mut self.links_rx, ended).await;
+        self.accepted_entries.clear();
+        let ended = self.links.shut_down(IDLE_TIMEOUT);
+        let open =
+            link::discard_events_during(&mut self.links_rx, ended).await;
         if open > 0 {
-            log::warn!("{open} connections to processes are still open");
+            log::warn!("{open} connections to other processes are still open");
         }
     }
 
@@ -261,7 +267,7 @@
                 self.replies.insert(request, reply);
                 self.reduce(event);
             }
-            Input::Tell(event) => {
+            Input::Notify(event) => {
                 if let Event::CallerGone(request) = &event {
                     self.replies.remove(request);
                 }
@@ -298,14 +304,14 @@
                 self.entries.insert(name, link);
                 self.reduce(Event::EntryUp(identity));
             }
-            // Whoever dials us may be new to us: then it is dialled back.
+            // The peer may not be known yet; the reducer then dials it back.
             (false, Side::Accepted) => {
-                self.met.insert(name.clone(), link);
-                let met = PeerAddress {
+                self.accepted_entries.insert(name.clone(), link);
+                let peer = PeerAddress {
                     name: identity.name,
                     address: identity.address,
                 };
-                let body = Body::Entries(Entries { entries: vec![met] });
+                let body = Body::Entries(Entries { entries: vec![peer] });
                 self.reduce(Event::FromEntry(name, body));
             }
         }
@@ -319,8 +325,8 @@
             self.agents.remove(&name);
             return self.reduce(Event::AgentDown(name));
         }
-        if is_current(self.met.get(&name)) {
-            self.met.remove(&name);
+        if is_current(self.accepted_entries.get(&name)) {
+            self.accepted_entries.remove(&name);
         }
         if side == Side::Dialled && is_current(self.entries.get(&name)) {
             self.entries.remove(&name);
@@ -340,13 +346,13 @@
         }
     }
 
-    fn on_reading(&mut self, reading: Reading) {
-        match reading {
-            Reading::Settings { revision, text } => {
+    fn on_watch_event(&mut self, event: WatchEvent) {
+        match event {
+            WatchEvent::Settings { revision, text } => {
                 self.on_settings(revision, &text);
             }
-            Reading::Down => self.log(LogEvent::PlatformDown, ""),
-            Reading::Back => self.log(LogEvent::PlatformBack, ""),
+            WatchEvent::Down => self.log(LogEvent::PlatformDown, ""),
+            WatchEvent::Back => self.log(LogEvent::PlatformBack, ""),
         }
     }
 
@@ -390,7 +396,9 @@
                     let _ = reply.send(Reply::Piece(data));
                 }
             }
-            Effect::Finish(request, last) => self.finish(request, last),
+            Effect::Finish(request, response) => {
+                self.finish(request, response)
+            }
             Effect::ReadManifest { digest, origin_path } => {
                 self.read_manifest(digest, origin_path);
             }
@@ -411,11 +419,11 @@
         }
     }
 
-    fn finish(&mut self, request: u64, last: FinalResponse) {
-        let label = format!("code=\"{}\"", last.code.number());
+    fn finish(&mut self, request: u64, response: FinalResponse) {
+        let label = format!("code=\"{}\"", response.code.number());
         self.metrics.add("answers_total", &label, 1);
         if let Some(reply) = self.replies.remove(&request) {
-            let _ = reply.send(Reply::Last(last));
+            let _ = reply.send(Reply::Final(response));
         }
     }
 
@@ -425,7 +433,7 @@
         tokio::spawn(async move {
             let manifest = origin.manifest(&origin_path).await;
             let read = Event::ManifestRead { digest, manifest };
-            let _ = inputs.send(Input::Tell(read));
+            let _ = inputs.send(Input::Notify(read));
         });
     }
 
@@ -435,7 +443,7 @@
         logs::event(&self.process, event, detail);
     }
 
-    fn observe(&self) {
+    fn update_gauges(&self) {
         let in_progress = self.entry.in_progress() as u64;
         self.metrics.set("requests_in_progress", "", in_progress);
         self.metrics.set("settings_revision", "", self.entry.revision());
@@ -443,7 +451,7 @@
     }
 }
 
-fn ticking() -> Interval {
+fn tick_interval() -> Interval {
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     tick
@@ -494,5 +502,5 @@
     }
 }
 
-/// The code of an answer that the shell itself gives when it is going down.
-pub(crate) const GONE: Code = Code::Unknown;
+/// The code of responses that are lost because the process stops.
+pub(crate) const SHUTDOWN_CODE: Code = Code::Unknown;
--- a/crates/raildale/src/fleet/entry/host/changes.rs
+++ b/crates/raildale/src/fleet/entry/host/changes.rs
@@ -86,7 +86,7 @@
         let is_restored = self.is_of_older_era(kind);
         let progress = |object: &StoredObject| self.progress(kind, object);
         let changes =
-            self.known.replace(kind, snapshot, source_extent, progress);
+            self.store_mirror.replace(kind, snapshot, source_extent, progress);
         if is_restored {
             self.log_retained(kind);
         }
@@ -117,7 +117,7 @@
     ) {
         self.check_answer_stamp(kind, stamp);
         let progress = |object: &StoredObject| self.progress(kind, object);
-        let changes = self.known.apply(kind, stamp, changes, progress);
+        let changes = self.store_mirror.apply(kind, stamp, changes, progress);
         self.apply_changes(
             kind,
             changes,
@@ -142,7 +142,7 @@
         }
         if let Some(age_ms) = heard_age_ms {
             let heard_ms = now.saturating_sub(age_ms);
-            self.gateway.borrow_mut().note_versions_heard(heard_ms);
+            self.gateway.borrow_mut().record_versions_heard(heard_ms);
         }
     }
 
@@ -193,7 +193,7 @@
         let targets = gateway.targets.iter().filter(is_over);
         let expired: Vec<Name> =
             targets.map(|target| target.spec.id.clone()).collect();
-        let stamp = self.known.stamp(Kind::Targets);
+        let stamp = self.store_mirror.stamp(Kind::Targets);
         for id in expired {
             gateway.targets.depart(now, &id, stamp);
             self.log(LogEvent::TargetGone, &format!("target={id} lapsed"));
@@ -265,7 +265,7 @@
         if self.service_names() != services_before {
             // Adds targets of services that are new in the configuration, and
             // drops those of services that it no longer names.
-            let targets = self.known.snapshot(Kind::Targets);
+            let targets = self.store_mirror.snapshot(Kind::Targets);
             targets
                 .objects
                 .iter()
@@ -300,7 +300,7 @@
             return;
         };
         let start = StartId::of(&spec);
-        if self.note_listed(start, spec.stamp) {
+        if self.record_listed(start, spec.stamp) {
             let detail = format!("target={} restored={}", spec.id, spec.stamp);
             self.log(LogEvent::TargetGone, &detail);
             return;
@@ -356,7 +356,7 @@
                 target.lapse.get_or_insert(Lapse { at_ms: now, is_from_peer });
             }
         } else {
-            let stamp = self.known.stamp(Kind::Targets);
+            let stamp = self.store_mirror.stamp(Kind::Targets);
             gateway.targets.depart(now, name, stamp);
         }
         let detail = format!("target={name} doubtful={is_doubtful}");
@@ -400,7 +400,7 @@
         source_text: &str,
     ) {
         let mut gateway = self.gateway.borrow_mut();
-        let change = gateway.note_version(model.clone(), named);
+        let change = gateway.record_version(model.clone(), named);
         let is_logged = match change {
             VersionChange::New => true,
             VersionChange::Earlier(ms) => ms >= MIN_LOGGED_CORRECTION_MS,
@@ -421,7 +421,7 @@
     }
 
     fn apply_members(&self) {
-        let snapshot = self.known.snapshot(Kind::EntryHosts);
+        let snapshot = self.store_mirror.snapshot(Kind::EntryHosts);
         let entries = snapshot
             .objects
             .iter()
